--- a/apps/host/src/followPlatform.ts
+++ b/apps/host/src/followPlatform.ts
@@ -14,28 +14,28 @@
 const UPSTREAMS_TOPIC = 'keyed.servers';
 const SETTINGS_KEY = 'config';
 const VERSION_PREFIX = 'version/';
-/** The operator's changes must be in force within two seconds; upstreams write every 1.2 s. */
-const SETTINGS_PACE_MS = 40;
-const UPSTREAMS_PACE_MS = 200;
+/** Settings changes must take effect within 2 s; upstreams update their entries every 1.2 s. */
+const SETTINGS_READ_INTERVAL_MS = 40;
+const UPSTREAMS_READ_INTERVAL_MS = 200;
 
 export interface FollowPlatformOptions {
   clock: Clock;
   log: EventLog;
   store: Store;
-  view: SettingsView;
+  settingsView: SettingsView;
   directory: Directory;
-  /** How much rarer to read, with many hosts. */
-  paceFactor: () => number;
+  /** Factor by which the read interval grows with the number of hosts. */
+  readIntervalFactor: () => number;
 }
 
-/** Keeps the operator's settings, the trainers' named versions and the list of upstreams current. */
+/** Follows the operator's settings, the newest version of each model and the list of upstreams. */
 const followPlatform = (options: FollowPlatformOptions) => {
-  const { clock, log, store, view, directory, paceFactor } = options;
+  const { clock, log, store, settingsView, directory, readIntervalFactor } = options;
   const versions = new Map<string, NewestVersion>();
 
   const applySettings = (value: Buffer, offset: number): void => {
     const settings = restoreOperatorSettings(value);
-    if (settings.ok) view.put(settings.val);
+    if (settings.ok) settingsView.put(settings.val);
     else log.error('settings.unreadable', { offset, problems: settings.val.slice(0, 5) });
   };
 
@@ -50,7 +50,7 @@
     log.info('version.named', { ...named, offset });
   };
 
-  const applyOperator = ({ key, value, offset }: KeyedRecord): void => {
+  const applyOperatorRecord = ({ key, value, offset }: KeyedRecord): void => {
     if (value === null) return;
     if (key === SETTINGS_KEY) applySettings(value, offset);
     else if (key.startsWith(VERSION_PREFIX)) applyVersion(value, offset);
@@ -66,29 +66,29 @@
     else log.warn('upstream.unreadable', { upstream: key, problems: entry.val.slice(0, 3) });
   };
 
-  const operator = newKeyedFollower({
+  const operatorFollower = newKeyedFollower({
     clock,
     log,
     store,
     topic: OPERATOR_TOPIC,
-    readPaceMs: () => SETTINGS_PACE_MS,
-    apply: applyOperator,
+    readPaceMs: () => SETTINGS_READ_INTERVAL_MS,
+    apply: applyOperatorRecord,
   });
-  const upstreams = newKeyedFollower({
+  const upstreamsFollower = newKeyedFollower({
     clock,
     log,
     store,
     topic: UPSTREAMS_TOPIC,
-    readPaceMs: () => UPSTREAMS_PACE_MS * paceFactor(),
+    readPaceMs: () => UPSTREAMS_READ_INTERVAL_MS * readIntervalFactor(),
     apply: applyUpstream,
     onBack: directory.storeIsBack,
   });
 
   return {
     run: async (signal: AbortSignal): Promise<void> => {
-      await Promise.all([operator.run(signal), upstreams.run(signal)]);
+      await Promise.all([operatorFollower.run(signal), upstreamsFollower.run(signal)]);
     },
-    /** The newest version of a model that its trainer has named; 1 before the first. */
+    /** The newest version of a model that its trainer has published; 1 before the first. */
     newestVersion: (model: string): NewestVersion =>
       versions.get(model) ?? { model, version: 1, learnedAt: -Infinity },
   };
--- a/apps/host/src/newBatchHandlers.ts
+++ b/apps/host/src/newBatchHandlers.ts
@@ -18,16 +18,16 @@
 import type { BatchStore } from './newBatchStore.js';
 
 /**
- * Trainers send a batch again after about 1.2 s without an answer, a handful of times. Until then the
- * store may be back: the longer each call waits for that, the longer an outage that a batch outlives.
+ * Trainers retry a batch a few times, each after about 1.2 s without a response. Each call waits almost
+ * that long for the store to recover, so that the batch survives longer outages.
  */
-const ACCEPT_MS = 1_100;
-/** An end is written within some milliseconds, here or by another host. */
-const END_MS = 1_000;
-const CATCH_UP_MS = 700;
-/** A view older than this may lack what another host has shown already. */
-const FRESH_MS = 700;
-/** A caller whose batch could not be kept comes back when the store's hiccup may be over. */
+const ACCEPT_TIMEOUT_MS = 1_100;
+/** A batch end is normally written within a few milliseconds, by this host or a peer. */
+const END_TIMEOUT_MS = 1_000;
+const CATCH_UP_TIMEOUT_MS = 700;
+/** A view older than this may lack results that another host has already returned. */
+const MAX_VIEW_AGE_MS = 700;
+/** Retry delay sent to callers while the store is unreachable; short outages are over by then. */
 const STORE_RETRY_MS = 300;
 
 export interface BatchHandlerOptions {
@@ -38,7 +38,7 @@
   readSettings: () => EffectiveSettings | null;
 }
 
-/** The calls on batches. Every host answers them alike, from the store's records. */
+/** Handlers of the batch calls. They answer from the store's records, so all hosts answer alike. */
 const newBatchHandlers = (options: BatchHandlerOptions) => {
   const { clock, log, store, keep, readSettings } = options;
   const { batches } = store;
@@ -56,15 +56,17 @@
     sendJson(response, refusal.status, { error: refusal.code }, headers);
   };
 
-  /** The batch, if the caller may see it; a refusal otherwise. Absent is said only when it is sure. */
-  const find = async (request: CallerRequest, id: string): Promise<BatchState | Refusal> => {
+  /** The caller's batch, or a refusal. A batch is reported missing only if the view is up to date. */
+  const findBatch = async (request: CallerRequest, id: string): Promise<BatchState | Refusal> => {
     const effective = readSettings();
     if (!effective) return notRun('no-settings', STORE_RETRY_MS);
     const caller = findCaller(effective, null, request.key);
     if (!caller) return rejected(401, 'unknown-key');
-    const isSure = batches.get(id) ? true : await store.catchUp(clock.now() + CATCH_UP_MS);
+    const isCurrent = batches.get(id)
+      ? true
+      : await store.catchUp(clock.now() + CATCH_UP_TIMEOUT_MS);
     const state = batches.get(id);
-    if (!state && !isSure) return notRun('store-away', STORE_RETRY_MS);
+    if (!state && !isCurrent) return notRun('store-away', STORE_RETRY_MS);
     const customer = caller.type === 'customer' ? caller.customer.name : null;
     if (!state || state.batch.customer !== customer) return rejected(404, 'no-such-batch');
     return state;
@@ -72,7 +74,7 @@
 
   const isRefusal = (found: object): found is Refusal => 'status' in found;
 
-  /** Absent is said of an item only where the batch has none of that id. */
+  /** An item is reported missing only if the batch has no such id, not if it can't be read. */
   const findItem = async (state: BatchState, itemId: string): Promise<Item | Refusal> => {
     if (!state.items.has(itemId)) return rejected(404, 'no-such-item');
     const items = await store.requests.read(state);
@@ -107,7 +109,11 @@
       acceptedAt: clock.wallTime(),
       ...submitted.val,
     };
-    const outcome = await keepOrSee({ clock, batches, keep }, record, clock.now() + ACCEPT_MS);
+    const outcome = await keepOrSee(
+      { clock, batches, keep },
+      record,
+      clock.now() + ACCEPT_TIMEOUT_MS,
+    );
     log.info('batch.accepted', {
       batch: id,
       outcome,
@@ -118,21 +124,21 @@
       wantedGroups: record.wantedGroups,
     });
     if (outcome === 'written') sendJson(response, 202, {});
-    // It may still land: then it runs, so nothing may be promised.
+    // The append may still take effect and the batch run, so the refusal must not say "not run".
     else if (outcome === 'unknown') refuse(response, request, id, uncertain('store-silent', 504));
     else refuse(response, request, id, notRun('store-away', STORE_RETRY_MS));
   };
 
-  /** Waits for a result at a position, as long as the caller allows. */
-  const waitForResult = (state: BatchState, from: number, until: number): Promise<void> => {
+  /** Waits for a result at a position, until the caller's wait time is over. */
+  const waitForResult = (state: BatchState, from: number, deadline: number): Promise<void> => {
     const wait = new AbortController();
     const stop = batches.onChange((changed) => {
-      if (changed === state && state.results.length > from) wait.abort('there');
+      if (changed === state && state.results.length > from) wait.abort('result available');
     });
-    return clock.sleepUntil(until, wait.signal).finally(stop);
+    return clock.sleepUntil(deadline, wait.signal).finally(stop);
   };
 
-  const noteRead = ({ batch, items, results, isEnded }: BatchState, from: number, given: number) =>
+  const logRead = ({ batch, items, results, isEnded }: BatchState, from: number, given: number) =>
     log.info('batch.read', {
       batch: batch.id,
       from,
@@ -149,15 +155,15 @@
     id: string,
     from: number,
   ): Promise<void> => {
-    const until = clock.now() + request.waitMs;
-    const found = await find(request, id);
+    const deadline = clock.now() + request.waitMs;
+    const found = await findBatch(request, id);
     if (isRefusal(found)) {
       refuse(response, request, id, found);
       return;
     }
-    const isWhole = (): boolean => found.results.length >= found.items.size || found.isEnded;
-    if (found.results.length <= from && !isWhole()) await waitForResult(found, from, until);
-    const isStale = clock.now() > store.freshAt() + FRESH_MS;
+    const isComplete = (): boolean => found.results.length >= found.items.size || found.isEnded;
+    if (found.results.length <= from && !isComplete()) await waitForResult(found, from, deadline);
+    const isStale = clock.now() > store.freshAt() + MAX_VIEW_AGE_MS;
     if (found.results.length <= from && isStale && !(await store.catchUp(clock.now() + 300))) {
       refuse(response, request, id, notRun('store-away', STORE_RETRY_MS));
       return;
@@ -169,7 +175,7 @@
     }
     const { results, texts } = page;
     sendJson(response, 200, formatResults(found.items.size, from, results, texts));
-    if (results.length > 0) noteRead(found, from, results.length);
+    if (results.length > 0) logRead(found, from, results.length);
   };
 
   const readItem = async (
@@ -178,7 +184,7 @@
     id: string,
     itemId: string,
   ): Promise<void> => {
-    const found = await find(request, id);
+    const found = await findBatch(request, id);
     const item = isRefusal(found) ? found : await findItem(found, itemId);
     if (isRefusal(item)) {
       refuse(response, request, id, item);
@@ -197,14 +203,14 @@
     response: ServerResponse,
     id: string,
   ): Promise<void> => {
-    const found = await find(request, id);
+    const found = await findBatch(request, id);
     if (isRefusal(found)) {
       refuse(response, request, id, found);
       return;
     }
     const outcome = found.isEnded
       ? 'written'
-      : await keep({ type: 'batch-end', batch: id }, clock.now() + END_MS);
+      : await keep({ type: 'batch-end', batch: id }, clock.now() + END_TIMEOUT_MS);
     log.info('batch.ended', { batch: id, outcome, results: found.results.length });
     if (outcome === 'written') sendJson(response, 200, {});
     else refuse(response, request, id, uncertain('store-silent', 504));
--- a/apps/host/src/newBatchStore.ts
+++ b/apps/host/src/newBatchStore.ts
@@ -24,21 +24,21 @@
 import type Store from '@cyclamengate/store/Store';
 
 const TOPIC = 'batches';
-/** Texts that are under way; read by a host that takes a batch over. */
+/** Partial texts of running items; read by a host that takes over a batch. */
 const PARTS_TOPIC = 'parts';
-/** Least time between two reads: bounds the calls of many hosts, and delays a result by as much. */
-const PACE_MS = 80;
+/** Minimum time between two reads: limits the calls of many hosts, but delays results as much. */
+const READ_INTERVAL_MS = 80;
 
-/** A batch is due 7.5 s after it was sent first; kept later than this it is of use to nobody. */
-const BEGUN_MS = 9_000;
+/** Results are due 7.5 s after the batch was first sent; a batch stored later than this is useless. */
+const BEGUN_WRITE_TIMEOUT_MS = 9_000;
 
-/** A store that is there is read to its end within some milliseconds. */
-const IN_TOUCH_MS = 300;
+/** A reachable store is read to its end within a few milliseconds. */
+const CATCH_UP_TIMEOUT_MS = 300;
 /**
- * After an outage for all some hosts read again a second or two before others, which wait for calls
- * that hang. Those are not cut off, and would hand batches to and fro.
+ * After a store outage, some hosts read again 1 to 2 s before others whose calls still hang. Hosts that
+ * lag this way are not partitioned; treating them as such would hand batches back and forth.
  */
-const STEADY_MS = 2_500;
+const MIN_STEADY_MS = 2_500;
 
 export interface BatchStoreOptions {
   clock: Clock;
@@ -47,13 +47,13 @@
   host: string;
   incarnation: string;
   lifeMs: number;
-  /** How much rarer to read, with many hosts. */
-  paceFactor: () => number;
+  /** Factor by which the read interval grows with the number of hosts. */
+  readIntervalFactor: () => number;
 }
 
-/** Batches, followed in the store, and the way to write to them. */
+/** Follows the batches in the store and writes their records. */
 const newBatchStore = (options: BatchStoreOptions) => {
-  const { clock, log, store, host, incarnation, lifeMs, paceFactor } = options;
+  const { clock, log, store, host, incarnation, lifeMs, readIntervalFactor } = options;
 
   const partTexts = newPartTexts(clock);
   const batches = newBatches({ clock, lifeMs, parts: partTexts });
@@ -62,7 +62,7 @@
     log,
     store,
     topic: TOPIC,
-    readPaceMs: () => PACE_MS * paceFactor(),
+    readPaceMs: () => READ_INTERVAL_MS * readIntervalFactor(),
     apply: newRecordReader({ log, topic: TOPIC, schema: batchRecordSchema, apply: batches.apply }),
   });
   const writer = newStoreWriter({ clock, log, store, topic: TOPIC, producer: incarnation });
@@ -71,7 +71,10 @@
 
   const encode = (record: { type: string }): Buffer[] => encodeRecord(record, newId('record'));
 
-  /** Until its head stands nobody knows of a batch, so it has not run and never will. */
+  /**
+   * Writes the items of a batch, then its head. Without the head no host sees the batch, so it has not
+   * run and never will.
+   */
   const writeBatch = async (
     batch: Batch,
     begun: BatchBegun | null,
@@ -110,12 +113,12 @@
   const trimParts = newTrimmer({ clock, log, store, topic: PARTS_TOPIC, lifeMs: PART_LIFE_MS });
 
   const writePart = async (part: Part, deadline: number): Promise<WriteOutcome> => {
-    const placed = await partWriter.place(encode(part), deadline);
-    if (placed.offset !== null) trimParts(placed.offset);
-    return placed.outcome;
+    const appended = await partWriter.place(encode(part), deadline);
+    if (appended.offset !== null) trimParts(appended.offset);
+    return appended.outcome;
   };
 
-  const begunBy = (batch: Batch, from: string | null): BatchBegun => ({
+  const newBatchBegun = (batch: Batch, from: string | null): BatchBegun => ({
     type: 'batch-begun',
     batch: batch.id,
     host,
@@ -123,39 +126,46 @@
     from,
   });
 
-  /** Brings a batch that the store may not have to it, with who runs it. */
-  const bringBegun = async (batch: Batch, from: string | null): Promise<void> => {
-    const outcome = await writeBatch(batch, begunBy(batch, from), clock.now() + BEGUN_MS);
+  /** Writes a batch that the store may not have yet, and the record that this host runs it. */
+  const storeBegunBatch = async (batch: Batch, from: string | null): Promise<void> => {
+    const outcome = await writeBatch(
+      batch,
+      newBatchBegun(batch, from),
+      clock.now() + BEGUN_WRITE_TIMEOUT_MS,
+    );
     log.info('batch.begun-kept', { batch: batch.id, outcome });
     if (outcome === 'written') batches.noteStored(batch.id);
     else batches.withdraw(batch.id);
   };
 
-  /** Tells all hosts who runs a batch that the store has. */
-  const noteTaken = async (batch: Batch, from: string): Promise<void> => {
-    const outcome = await writer.write(encode(begunBy(batch, from)), clock.now() + BEGUN_MS);
+  /** Records that this host has taken over a batch that is already stored. */
+  const recordTakeover = async (batch: Batch, from: string): Promise<void> => {
+    const outcome = await writer.write(
+      encode(newBatchBegun(batch, from)),
+      clock.now() + BEGUN_WRITE_TIMEOUT_MS,
+    );
     log.info('batch.taken-over', { batch: batch.id, from, outcome });
     if (outcome !== 'written') batches.withdraw(batch.id);
   };
 
-  const touch = async (): Promise<Touch> => {
-    if (!(await follower.catchUp(clock.now() + IN_TOUCH_MS))) return 'none';
-    return clock.now() > follower.steadySince() + STEADY_MS ? 'steady' : 'new';
+  const checkStoreAccess = async (): Promise<Touch> => {
+    if (!(await follower.catchUp(clock.now() + CATCH_UP_TIMEOUT_MS))) return 'none';
+    return clock.now() > follower.steadySince() + MIN_STEADY_MS ? 'steady' : 'new';
   };
 
   return {
     batches,
-    /** How well the batches can be read to their end: not at all, again of late, or for some time. */
-    touch,
-    /** Begins a batch that the store does not have yet, and brings it there with who began it. */
+    /** Whether the topic can be read to its end: not at all, only since recently, or steadily. */
+    checkStoreAccess,
+    /** Begins a batch that the store does not have yet, and writes it there. */
     begin: (batch: Batch): void => {
-      if (batches.begin(batch)) bringBegun(batch, null);
+      if (batches.begin(batch)) storeBegunBatch(batch, null);
     },
-    /** Goes on with a batch that another host hands over, from the texts that come with it. */
-    takeOver: ({ batch, texts: handed, from }: Handover): void => {
-      handed.forEach(partTexts.apply);
-      if (batches.begin(batch)) bringBegun(batch, from);
-      else if (batches.adopt(batch)) noteTaken(batch, from);
+    /** Takes over a batch from another host and continues from the partial texts sent with it. */
+    takeOver: ({ batch, texts: handedTexts, from }: Handover): void => {
+      handedTexts.forEach(partTexts.apply);
+      if (batches.begin(batch)) storeBegunBatch(batch, from);
+      else if (batches.adopt(batch)) recordTakeover(batch, from);
     },
     texts,
     requests: newRequestReader({ clock, log, readTexts: texts.read }),
@@ -164,7 +174,7 @@
     run: follower.run,
     catchUp: follower.catchUp,
     freshAt: follower.freshAt,
-    isAway: follower.isLost,
+    isUnreachable: follower.isLost,
     write: (change: BatchChange, deadline: number): Promise<WriteOutcome> =>
       change.type === 'batch'
         ? writeBatch(change, null, deadline)
--- a/apps/host/src/newCallerHandler.ts
+++ b/apps/host/src/newCallerHandler.ts
@@ -18,7 +18,7 @@
 import type { UsageMeter } from '@cyclamengate/hosts/newUsageMeter';
 import type { BatchHandlers } from './newBatchHandlers.js';
 
-/** A host that has no settings yet has them within a second, or its store is away. */
+/** A starting host has its settings within a second unless the store is unreachable. */
 const NO_SETTINGS_RETRY_MS = 500;
 const BODY_TIMEOUT_MS = 30_000;
 
@@ -34,19 +34,19 @@
   isLeaving: () => boolean;
 }
 
-/** Serves callers: finds the route and the customer, and gets an upstream's answer. */
+/** Serves callers: resolves route and customer, then relays the request or accepts the batch. */
 const newCallerHandler = (options: CallerHandlerOptions) => {
   const { clock, log, metrics, meter, relay, relayStream, batches, readSettings } = options;
 
   const refuse = (response: ServerResponse, request: CallerRequest, refusal: Refusal): void => {
     metrics.count(`requests_refused_${refusal.code.replaceAll('-', '_')}`);
     const headers = refusalHeaders(request.requestId, refusal);
-    // A host that leaves closes after its answer, also where the body was refused half-way.
+    // While draining, the connection is closed after the refusal, even if the body is incomplete.
     const send = options.isLeaving() && !response.req.complete ? sendLastJson : sendJson;
     send(response, refusal.status, { error: refusal.code }, headers);
   };
 
-  const noteRefusal = (request: CallerRequest, refusal: Refusal, version?: number): void =>
+  const logRefusal = (request: CallerRequest, refusal: Refusal, version?: number): void =>
     log.info('request.refused', {
       requestId: request.requestId,
       hostName: request.hostName,
@@ -54,8 +54,8 @@
       ...refusal,
     });
 
-  /** Ends the upstream's work when the caller goes away. */
-  const watchCaller = (response: ServerResponse): AbortController => {
+  /** Aborts the upstream request when the caller disconnects. */
+  const newCallerAbortController = (response: ServerResponse): AbortController => {
     const controller = new AbortController();
     response.once('close', () => {
       if (!response.writableFinished) controller.abort('caller gone');
@@ -107,13 +107,13 @@
       mostUpstreams: route.mostUpstreams,
       deadline: deadlineOf(route, request, arrivedAt),
     };
-    const controller = watchCaller(response);
-    const beganAt = clock.wallTime();
+    const controller = newCallerAbortController(response);
+    const startedAt = clock.wallTime();
     const outcome = route.isStream
       ? await relayStream(relayed, response, controller.signal)
       : await relay(relayed, controller.signal);
     const hasRun = outcome.type === 'answer' || outcome.hasRun;
-    if (hasRun && customer !== null) meter.count(customer, beganAt);
+    if (hasRun && customer !== null) meter.count(customer, startedAt);
     if (!response.headersSent) sendAnswer(response, outcome, request);
     const tookMs = clock.now() - arrivedAt;
     metrics.observe('request', tookMs);
@@ -136,21 +136,21 @@
     if (options.isLeaving()) response.setHeader('connection', 'close');
     const effective = readSettings();
     const route = effective && findRoute(effective, caller.hostName, caller.path);
-    const who = effective && route ? findCaller(effective, route, caller.key) : null;
+    const identity = effective && route ? findCaller(effective, route, caller.key) : null;
     const limitBytes = effective?.settings.limits.mostBodyBytes ?? 0;
-    // The body is read before a refusal too: closing with unread bytes would reset the connection.
+    // Also read before a refusal: closing with unread bytes would reset the connection.
     const body = await readBody(request, Math.max(limitBytes, 65_536), BODY_TIMEOUT_MS);
     const version = effective?.settings.version;
     const reject = (refusal: Refusal): void => {
-      noteRefusal(caller, refusal, version);
+      logRefusal(caller, refusal, version);
       refuse(response, caller, refusal);
     };
     if (!effective) reject(notRun('no-settings', NO_SETTINGS_RETRY_MS));
     else if (!route) reject(rejected(404, 'no-route'));
-    else if (!who) reject(rejected(401, 'unknown-key'));
+    else if (!identity) reject(rejected(401, 'unknown-key'));
     else if (!body.ok) reject(rejected(body.val === 'too-large' ? 413 : 408, body.val));
     else {
-      const customer = who.type === 'customer' ? who.customer.name : null;
+      const customer = identity.type === 'customer' ? identity.customer.name : null;
       const isBatch = route.kind === 'batch' && caller.method === 'POST';
       if (isBatch) await batches.accept(caller, response, route, customer, body.val);
       else await relayRequest(caller, response, route, customer, body.val, arrivedAt);
--- a/apps/host/src/newCoordination.ts
+++ b/apps/host/src/newCoordination.ts
@@ -20,23 +20,24 @@
 import type Store from '@cyclamengate/store/Store';
 
 const TOPIC = 'coordination';
-/** Least time between two reads: bounds calls and processor time; a heartbeat is due every 500 ms. */
-const PACE_MS = 150;
+/** Minimum time between two reads, to limit calls and CPU time; heartbeats are due every 500 ms. */
+const READ_INTERVAL_MS = 150;
 /**
- * With more hosts there is more to read, and each read costs each host a wake-up: 80 hosts made 125,000
- * calls in a minute. A claim must still be read back within 450 ms.
+ * Above this number of hosts each host reads less often, since there is more to read and every read
+ * costs CPU time: 80 hosts made 125,000 calls in a minute. The read interval is bounded because a lease
+ * claim must be read back within 450 ms.
  */
-const HOSTS_AT_FULL_PACE = 25;
-const SLOWEST_PACE_FACTOR = 2.5;
-/** Heartbeats of few hosts come so often; the more hosts, the rarer, to bound what all read. */
-const SHORTEST_HEARTBEAT_MS = 500;
-const HEARTBEAT_MS_A_HOST = 15;
-/** A host is taken for gone after this many intervals without a heartbeat. */
-const MISSED_HEARTBEATS = 3.2;
-/** A view older than this says nothing about who holds what. */
-const FRESH_MS = 1_500;
-/** Hosts of other failure domains come after so many of the domain's own. */
-const OTHER_DOMAIN_RANK = 6;
+const HOSTS_AT_FULL_READ_RATE = 25;
+const MAX_READ_INTERVAL_FACTOR = 2.5;
+/** The heartbeat interval grows with the number of hosts, to limit what every host has to read. */
+const MIN_HEARTBEAT_INTERVAL_MS = 500;
+const HEARTBEAT_INTERVAL_MS_PER_HOST = 15;
+/** A host is considered dead after this many intervals without a heartbeat. */
+const HEARTBEAT_TIMEOUT_INTERVALS = 3.2;
+/** No lease is claimed and no ownership decided on a view older than this. */
+const MAX_VIEW_AGE_MS = 1_500;
+/** Added to the rank of hosts in other failure domains, so that the lease's own domain claims first. */
+const OTHER_DOMAIN_RANK_OFFSET = 6;
 
 export interface CoordinationOptions {
   clock: Clock;
@@ -45,35 +46,40 @@
   host: string;
   incarnation: string;
   failureDomain: string;
-  /** Where other hosts reach this one. */
+  /** Address on which this host serves its peers. */
   address: string;
-  /** This host's, in parts of one. */
+  /** Cores available to this host; may be fractional. */
   cores: number;
   leaseMs: number;
   meter: UsageMeter;
-  readRunning: () => Record<string, number>;
+  /** This host's running requests, by upstream. */
+  readRunningCounts: () => Record<string, number>;
   isLeaving: () => boolean;
 }
 
-/** What hosts agree on through the store: who is there, who holds which lease, usage. */
+/** Cluster state shared through the store: membership, leases and usage counts. */
 const newCoordination = (options: CoordinationOptions) => {
   const { clock, log, store, host, incarnation, failureDomain, address, cores, leaseMs } = options;
-  const { meter, readRunning, isLeaving } = options;
+  const { meter, readRunningCounts, isLeaving } = options;
   let memberCount = 1;
 
-  const heartbeatMs = (): number =>
-    Math.max(SHORTEST_HEARTBEAT_MS, memberCount * HEARTBEAT_MS_A_HOST);
+  const heartbeatIntervalMs = (): number =>
+    Math.max(MIN_HEARTBEAT_INTERVAL_MS, memberCount * HEARTBEAT_INTERVAL_MS_PER_HOST);
 
   const leases = newLeases(clock, leaseMs);
-  const members = newMembers(clock, host, () => heartbeatMs() * MISSED_HEARTBEATS);
+  const members = newMembers(
+    clock,
+    host,
+    () => heartbeatIntervalMs() * HEARTBEAT_TIMEOUT_INTERVALS,
+  );
   const usage = newUsageCounts();
-  const order = newHeartbeatOrder();
-  let heartbeats = 0;
+  const heartbeatOrder = newHeartbeatOrder();
+  let heartbeatNumber = 0;
 
   const applyRecord = (record: CoordinationRecord, offset: number): void => {
     switch (record.type) {
       case 'heartbeat':
-        if (!order.isNews(record)) {
+        if (!heartbeatOrder.isNews(record)) {
           log.info('heartbeat.late', { of: record.host, isLeaving: record.isLeaving, offset });
           return;
         }
@@ -96,16 +102,16 @@
     }
   };
 
-  /** How much rarer this host reads than it would among a few. */
-  const paceFactor = (): number =>
-    Math.min(SLOWEST_PACE_FACTOR, Math.max(1, memberCount / HOSTS_AT_FULL_PACE));
+  /** Factor by which the read interval grows with the number of hosts. */
+  const readIntervalFactor = (): number =>
+    Math.min(MAX_READ_INTERVAL_FACTOR, Math.max(1, memberCount / HOSTS_AT_FULL_READ_RATE));
 
   const follower = newTopicFollower({
     clock,
     log,
     store,
     topic: TOPIC,
-    readPaceMs: () => PACE_MS * paceFactor(),
+    readPaceMs: () => READ_INTERVAL_MS * readIntervalFactor(),
     apply: newRecordReader({
       log,
       topic: TOPIC,
@@ -119,74 +125,75 @@
   const write = (record: CoordinationRecord, deadline: number): Promise<WriteOutcome> =>
     writer.write([Buffer.from(JSON.stringify(record))], deadline);
 
-  const isFresh = (): boolean => clock.now() < follower.freshAt() + FRESH_MS;
+  const isFresh = (): boolean => clock.now() < follower.freshAt() + MAX_VIEW_AGE_MS;
 
-  /** What this host says of itself now. */
-  const describe = (): Heartbeat => {
-    heartbeats += 1;
+  /** The next heartbeat of this host; each call increments the heartbeat number. */
+  const nextHeartbeat = (): Heartbeat => {
+    heartbeatNumber += 1;
     return {
       type: 'heartbeat',
       host,
       incarnation,
-      number: heartbeats,
+      number: heartbeatNumber,
       failureDomain,
       address,
       cores,
       isLeaving: isLeaving(),
-      running: readRunning(),
+      running: readRunningCounts(),
       usage: meter.recent(),
       countedThrough: meter.windowNow() - 1,
     };
   };
 
-  const heartbeat = (): Promise<WriteOutcome> => write(describe(), clock.now() + heartbeatMs());
+  const writeHeartbeat = (): Promise<WriteOutcome> =>
+    write(nextHeartbeat(), clock.now() + heartbeatIntervalMs());
 
-  const noteMembers = (() => {
-    let before = '';
+  const updateMemberCount = (() => {
+    let loggedHosts = '';
     return (): void => {
       const names = members.live().map((member) => member.host);
       memberCount = Math.max(1, names.length);
-      const now = names.join(' ');
-      if (now !== before) log.info('members.changed', { count: names.length, hosts: now });
-      before = now;
+      const hosts = names.join(' ');
+      if (hosts !== loggedHosts) log.info('members.changed', { count: names.length, hosts });
+      loggedHosts = hosts;
     };
   })();
 
-  const beat = async (signal: AbortSignal): Promise<void> => {
+  const sendHeartbeats = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
-      const next = clock.now() + heartbeatMs();
-      await heartbeat();
-      noteMembers();
+      const next = clock.now() + heartbeatIntervalMs();
+      await writeHeartbeat();
+      updateMemberCount();
       await clock.sleepUntil(next, signal);
     }
   };
 
   const ranks = new Map<string, string[]>();
-  let rankedFor: Member[] = [];
+  let rankedMembers: Member[] = [];
 
-  /** Live hosts in the order in which they come for a subject; the same on every host. */
+  /** Live hosts in order of preference for a subject; the order is the same on every host. */
   const rank = (subject: string): string[] => {
     const live = members.live();
-    if (live !== rankedFor) ranks.clear();
-    rankedFor = live;
-    const known = ranks.get(subject);
-    if (known) return known;
+    if (live !== rankedMembers) ranks.clear();
+    rankedMembers = live;
+    const cached = ranks.get(subject);
+    if (cached) return cached;
     const ranked = rankHosts(subject, live);
     ranks.set(subject, ranked);
     return ranked;
   };
 
-  /** This host's place for a subject of a failure domain, whose own hosts come first. */
-  const placeFor = (subject: string, domain: string | null): number | null => {
+  /** This host's rank among the hosts that may claim a lease; null while it must not claim it. */
+  const leaseRankFor = (subject: string, domain: string | null): number | null => {
     if (isLeaving() || !isFresh()) return null;
     const ranked = rank(subject);
-    const isNear = domain === null || domain === failureDomain;
-    const place = ranked.indexOf(host);
-    if (place === -1) return null;
-    return isNear ? place : place + OTHER_DOMAIN_RANK;
+    const isOwnDomain = domain === null || domain === failureDomain;
+    const position = ranked.indexOf(host);
+    if (position === -1) return null;
+    return isOwnDomain ? position : position + OTHER_DOMAIN_RANK_OFFSET;
   };
 
-  const newKeeper = (subject: string, domain: string | null): LeaseKeeper =>
+  const newLease = (subject: string, domain: string | null): LeaseKeeper =>
     newLeaseKeeper({
       clock,
       log,
@@ -196,7 +203,7 @@
       incarnation,
       termMs: leaseMs,
       write,
-      rank: () => placeFor(subject, domain),
+      rank: () => leaseRankFor(subject, domain),
       isFresh,
     });
 
@@ -205,13 +212,13 @@
     usage,
     write,
     isFresh,
-    newKeeper,
-    paceFactor,
-    describe,
-    heartbeat,
+    newLease,
+    readIntervalFactor,
+    nextHeartbeat,
+    writeHeartbeat,
     owns: newOwnership({ clock, host, rank, isFresh }),
-    othersRunning: members.runningElsewhere,
-    tasks: { follow: follower.run, beat },
+    runningElsewhere: members.runningElsewhere,
+    tasks: { follow: follower.run, sendHeartbeats },
   };
 };
 
--- a/apps/host/src/newDrain.ts
+++ b/apps/host/src/newDrain.ts
@@ -1,42 +1,42 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 
-/** The balancer sends new connections for up to two seconds after the host is no longer ready. */
-const LEAVING_MS = 3_000;
-/** What is left of the time to stop when the process ends by itself. */
-const STOP_RESERVE_MS = 700;
-const CHECK_OPEN_MS = 50;
+/** The load balancer opens new connections for up to 2 s after the host stops being ready. */
+const MIN_DRAIN_MS = 3_000;
+/** Time reserved before the kill for the process to exit by itself. */
+const EXIT_RESERVE_MS = 700;
+const POLL_INTERVAL_MS = 50;
 
 export interface DrainOptions {
   clock: Clock;
   log: EventLog;
-  /** Time from the signal to the kill. */
+  /** Time from the stop signal to the kill. */
   shutdownMs: number;
   openRequests: () => number;
   runningItems: () => number;
-  /** Takes no new work from now on, and gives work, leases and its place among the hosts to others. */
+  /** Stops accepting work, hands over items, releases leases and announces that the host is leaving. */
   leave: () => Promise<void>;
   close: () => void;
 }
 
 /**
- * Ends a host within the time that the platform gives. New connections still come for some seconds,
- * and requests that are under way go on; what is open at the end would be cut off by the kill anyway.
+ * Drains a host within the platform's shutdown time. It accepts new connections for the first seconds
+ * and completes open requests; requests still open shortly before the kill are dropped.
  */
 const newDrain =
   ({ clock, log, shutdownMs, openRequests, runningItems, leave, close }: DrainOptions) =>
   async (): Promise<void> => {
     const startedAt = clock.now();
-    const killAt = startedAt + shutdownMs - STOP_RESERVE_MS;
+    const killAt = startedAt + shutdownMs - EXIT_RESERVE_MS;
     log.info('process.stopping', { open: openRequests(), items: runningItems() });
     await leave();
-    await clock.sleepUntil(startedAt + LEAVING_MS);
+    await clock.sleepUntil(startedAt + MIN_DRAIN_MS);
     while (openRequests() > 0 && clock.now() < killAt) {
-      await clock.sleepUntil(clock.now() + CHECK_OPEN_MS);
+      await clock.sleepUntil(clock.now() + POLL_INTERVAL_MS);
     }
     log.info('process.stopped', { open: openRequests() });
     close();
-    await clock.sleepUntil(clock.now() + CHECK_OPEN_MS);
+    await clock.sleepUntil(clock.now() + POLL_INTERVAL_MS);
   };
 
 export default newDrain;
--- a/apps/host/src/newDuties.ts
+++ b/apps/host/src/newDuties.ts
@@ -22,34 +22,34 @@
   log: EventLog;
   host: string;
   failureDomain: string;
-  /** Of the platform's interface for reports and orders. */
+  /** Address of the platform's API for usage reports and scale orders. */
   address: string;
   connections: Connections;
   windowMs: number;
   coordination: Coordination;
-  newKeeper: Coordination['newKeeper'];
+  newLease: Coordination['newLease'];
   directory: Directory;
   readSettings: () => EffectiveSettings | null;
   newestVersion: (model: string) => NewestVersion;
-  /** Versions by which an engine may be behind and still serve a model's steps. */
+  /** Number of versions by which an engine may lag and still serve a model's steps. */
   allowedLag: (model: string) => number;
-  /** Items of batches that are open now, by the service that runs them. */
+  /** Number of unfinished items of open batches that a service runs. */
   openItems: (service: string) => number;
 }
 
-/** What one host does for all at a time, under leases: usage reports, and orders to engines. */
+/** Tasks that run on one host at a time, under leases: usage reports, weight loads and scaling. */
 const newDuties = (options: DutiesOptions) => {
   const { clock, log, host, failureDomain, address, connections, windowMs } = options;
   const { coordination } = options;
-  const { newKeeper, directory, readSettings, newestVersion, openItems, allowedLag } = options;
-  const usageLease = newKeeper('usage', null);
-  const enginesLease = newKeeper(`engines/${failureDomain}`, failureDomain);
+  const { newLease, directory, readSettings, newestVersion, openItems, allowedLag } = options;
+  const usageLease = newLease('usage', null);
+  const enginesLease = newLease(`engines/${failureDomain}`, failureDomain);
 
-  /** Loads that engines of this failure domain need, those that are furthest behind first. */
+  /** Weight loads that engines of this failure domain need, most outdated engines first. */
   const findDue = (): DueLoad[] => {
     const settings = readSettings()?.settings;
     if (!settings) return [];
-    const behind = ({ entry, model, version }: DueLoad): number =>
+    const versionsBehind = ({ entry, model, version }: DueLoad): number =>
       version - versionOf(entry, model);
     return settings.services
       .flatMap((service) => {
@@ -65,20 +65,20 @@
         ).map((due) => ({ ...due, mustWaitForRuns }));
       })
       .filter(({ entry }) => entry.failureDomain === failureDomain)
-      .sort((left, right) => behind(right) - behind(left));
+      .sort((left, right) => versionsBehind(right) - versionsBehind(left));
   };
 
-  const mostAtOnce = (): number => {
-    const withModels = (readSettings()?.settings.services ?? []).filter(
+  const maxConcurrentLoads = (): number => {
+    const modelServices = (readSettings()?.settings.services ?? []).filter(
       ({ models }) => models.length > 0,
     );
-    const own = withModels
+    const ownEngines = modelServices
       .flatMap(({ name }) => directory.all(name))
       .filter((entry) => entry.failureDomain === failureDomain);
-    return mostLoadsAtOnce(own.length);
+    return mostLoadsAtOnce(ownEngines.length);
   };
 
-  const scaledServices = (): ScaledService[] =>
+  const findScaledServices = (): ScaledService[] =>
     (readSettings()?.settings.services ?? []).flatMap(({ name, scaling }) =>
       scaling
         ? [
@@ -118,7 +118,7 @@
           hold: enginesLease.hold,
           findDue,
           find: directory.find,
-          mostAtOnce,
+          mostAtOnce: maxConcurrentLoads,
         },
         signal,
       ),
@@ -130,7 +130,7 @@
           failureDomain,
           orders: newHttpUpstreamOrders(address),
           hold: enginesLease.hold,
-          services: scaledServices,
+          services: findScaledServices,
           entries: directory.all,
           openItems,
         },
@@ -141,7 +141,7 @@
 
   return {
     run,
-    resign: async (): Promise<void> => {
+    releaseLeases: async (): Promise<void> => {
       await Promise.all([usageLease.resign(), enginesLease.resign()]);
     },
   };
--- a/apps/host/src/newHost.ts
+++ b/apps/host/src/newHost.ts
@@ -45,7 +45,7 @@
   return route ? pickService(route, 0) : null;
 };
 
-/** One host: callers, batches, and the duties that leases give to it. */
+/** One host: serves callers, runs batches, and runs the tasks whose leases it holds. */
 const newHost = (settings: HostSettings) => {
   const { host, failureDomain, terms, processor } = settings;
   const cores = processor.cores * processor.share;
@@ -60,7 +60,7 @@
   });
   let isLeaving = false;
 
-  const view = newSettingsView(log);
+  const settingsView = newSettingsView(log);
   const directory = newDirectory(clock, log);
   const health = newHealth(clock, log);
   const meter = newUsageMeter(clock, terms.usageWindowSeconds * MS_PER_SECOND);
@@ -76,10 +76,10 @@
     cores,
     leaseMs: terms.leaseMs,
     meter,
-    readRunning: loads.ownAll,
+    readRunningCounts: loads.ownAll,
     isLeaving: () => isLeaving,
   });
-  loads.countOthers(coordination.othersRunning);
+  loads.countOthers(coordination.runningElsewhere);
   const connections = newConnections();
   const client = newHttpUpstreamClient(clock, connections);
   const candidates = newCandidates({
@@ -100,7 +100,7 @@
     host,
     incarnation,
     lifeMs,
-    paceFactor: coordination.paceFactor,
+    readIntervalFactor: coordination.readIntervalFactor,
   });
   const peerService = newPeerService({
     clock,
@@ -124,9 +124,9 @@
     clock,
     log,
     store,
-    view,
+    settingsView,
     directory,
-    paceFactor: coordination.paceFactor,
+    readIntervalFactor: coordination.readIntervalFactor,
   });
   const allowedLags = newAllowedLags();
   batchStore.batches.onAccepted(({ model, leastVersion }) => {
@@ -148,12 +148,12 @@
     candidates,
     health,
     loads,
-    scorer: newItemScorer({ clock, log, relay, readSettings: view.read }),
-    readSettings: view.read,
+    scorer: newItemScorer({ clock, log, relay, readSettings: settingsView.read }),
+    readSettings: settingsView.read,
     isOwner: (subject) => !isLeaving && coordination.owns(`batches/${subject}`),
     mayWork: ({ isKept }) => {
-      const { freshAt, isAway } = batchStore;
-      const known = { freshAt: freshAt(), isAway: isAway(), isCutOff: cutWatch.isCutOff() };
+      const { freshAt, isUnreachable } = batchStore;
+      const known = { freshAt: freshAt(), isAway: isUnreachable(), isCutOff: cutWatch.isCutOff() };
       return mayStartWork(clock.now(), known, isKept);
     },
     isListed: (id) => directory.find(id) !== undefined,
@@ -178,16 +178,16 @@
     windowMs: terms.usageWindowSeconds * MS_PER_SECOND,
     coordination,
     directory,
-    readSettings: view.read,
+    readSettings: settingsView.read,
     newestVersion: platform.newestVersion,
     allowedLag: allowedLags.of,
     openItems: (service) =>
       batchStore.batches
         .open()
-        .filter(({ batch }) => serviceOfRoute(view.read(), batch.route) === service)
+        .filter(({ batch }) => serviceOfRoute(settingsView.read(), batch.route) === service)
         .reduce((sum, { items, finished }) => sum + items.size - finished.size, 0),
     failureDomain,
-    newKeeper: coordination.newKeeper,
+    newLease: coordination.newLease,
   });
   directory.onGone((entry) => {
     client.forget(entry);
@@ -206,7 +206,7 @@
     log,
     store: batchStore,
     keep: keeper.keep,
-    readSettings: view.read,
+    readSettings: settingsView.read,
   });
   const callers = newCallerHandler({
     clock,
@@ -216,7 +216,7 @@
     relay,
     relayStream,
     batches: batchHandlers,
-    readSettings: view.read,
+    readSettings: settingsView.read,
     isLeaving: () => isLeaving,
   });
 
@@ -226,14 +226,14 @@
     metrics,
     callers,
     batches: batchHandlers,
-    readSettings: view.read,
+    readSettings: settingsView.read,
     peerServer: newPeerServer(peerService),
-    isReady: () => view.read() !== null && !isLeaving,
+    isReady: () => settingsView.read() !== null && !isLeaving,
   });
 
-  /** Leaves the batches to hosts that reach the store. */
+  /** Hands over the batches to hosts that reach the store; @returns whether a peer announced that. */
   const leave = async (): Promise<boolean> => {
-    const isAnnounced = peers.announce({ ...coordination.describe(), isLeaving: true });
+    const isAnnounced = peers.announce({ ...coordination.nextHeartbeat(), isLeaving: true });
     await runner.handOver('cut off');
     return isAnnounced;
   };
@@ -241,18 +241,18 @@
   const startTasks = (): void => {
     tasks.start('settings and upstreams', platform.run);
     tasks.start('coordination', coordination.tasks.follow);
-    tasks.start('heartbeats', coordination.tasks.beat);
+    tasks.start('heartbeats', coordination.tasks.sendHeartbeats);
     tasks.start('batches', batchStore.run);
     tasks.start('items', runner.run);
     tasks.start('duties', duties.run);
     tasks.start('cut watch', (signal) => cutWatch.run({ openItems: runner.open, leave }, signal));
   };
 
-  const newGauges = (): void => {
+  const registerGauges = (): void => {
     metrics.gauge('batch_items_open', runner.open);
     metrics.gauge('batch_items_running', runner.running);
     metrics.gauge('hosts_live', () => coordination.members.live().length);
-    metrics.gauge('settings_version', () => view.read()?.settings.version ?? 0);
+    metrics.gauge('settings_version', () => settingsView.read()?.settings.version ?? 0);
     metrics.gauge('batches_view_age_ms', () => Math.round(clock.now() - batchStore.freshAt()));
   };
 
@@ -260,12 +260,12 @@
     clock,
     log,
     shutdownMs: terms.shutdownSeconds * MS_PER_SECOND,
-    openRequests: servers.open,
+    openRequests: servers.openRequestCount,
     runningItems: runner.running,
     leave: async () => {
       isLeaving = true;
       await runner.handOver('stopped');
-      await Promise.all([duties.resign(), coordination.heartbeat()]);
+      await Promise.all([duties.releaseLeases(), coordination.writeHeartbeat()]);
     },
     close: servers.close,
   });
@@ -273,9 +273,9 @@
   const start = async (): Promise<Running> => {
     const { address, listen } = settings;
     log.info('process.started', { incarnation, failureDomain, address, listen });
-    // Without a handler the signal would end the process; settings of its own never change here.
+    // Without a handler SIGHUP would terminate the process; the host's own settings are not reloaded.
     process.on('SIGHUP', () => log.info('process.reload', { isChanged: false }));
-    newGauges();
+    registerGauges();
     startTasks();
     await servers.listen();
     return { drain };
--- a/apps/host/src/newPeerService.ts
+++ b/apps/host/src/newPeerService.ts
@@ -3,8 +3,8 @@
 import type { BatchStore } from './newBatchStore.js';
 import type { Coordination } from './newCoordination.js';
 
-/** A peer's heartbeat is written within some milliseconds by a host that reaches the store. */
-const ANNOUNCE_MS = 500;
+/** A host that reaches the store writes a peer's heartbeat within a few milliseconds. */
+const ANNOUNCE_TIMEOUT_MS = 500;
 
 export interface PeerServiceOptions {
   clock: Clock;
@@ -13,7 +13,7 @@
   isLeaving: () => boolean;
 }
 
-/** What this host does for other hosts. */
+/** The procedures that this host provides to its peers. */
 const newPeerService = (options: PeerServiceOptions): PeerService => {
   const { clock, batchStore, coordination, isLeaving } = options;
 
@@ -27,14 +27,15 @@
     hasBegun: batchStore.batches.hasBegun,
     noteBegun: batchStore.batches.noteBeginner,
     takeOver: async (handover) => {
-      const isBetter = !handover.isSenderCut || (await batchStore.touch()) === 'steady';
-      const isTaken = isBetter && !isLeaving();
-      if (isTaken) batchStore.takeOver(handover);
-      return isTaken;
+      const isSuitable =
+        !handover.isSenderCut || (await batchStore.checkStoreAccess()) === 'steady';
+      const isAccepted = isSuitable && !isLeaving();
+      if (isAccepted) batchStore.takeOver(handover);
+      return isAccepted;
     },
     announce: async (heartbeat) =>
-      (await coordination.write(heartbeat, clock.now() + ANNOUNCE_MS)) === 'written',
-    touch: batchStore.touch,
+      (await coordination.write(heartbeat, clock.now() + ANNOUNCE_TIMEOUT_MS)) === 'written',
+    touch: batchStore.checkStoreAccess,
   };
 };
 
--- a/apps/host/src/newServers.ts
+++ b/apps/host/src/newServers.ts
@@ -12,9 +12,9 @@
 import type { BatchHandlers } from './newBatchHandlers.js';
 import type { CallerHandler } from './newCallerHandler.js';
 
-/** Above the operator's limit, which may change while the server runs. */
-const MOST_HEADER_BYTES = 65_536;
-const BACKLOG = 1_024;
+/** Exceeds the operator's limit, which can change while the server is running. */
+const MAX_HEADER_BYTES = 65_536;
+const LISTEN_BACKLOG = 1_024;
 
 export interface ServersOptions {
   settings: HostSettings;
@@ -24,7 +24,7 @@
   batches: BatchHandlers;
   readSettings: () => EffectiveSettings | null;
   isReady: () => boolean;
-  /** For other hosts. */
+  /** Serves the peer procedures. */
   peerServer: Server;
 }
 
@@ -41,47 +41,47 @@
 const listenOn = (server: Server, { host, port }: Address): Promise<void> =>
   new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen(port, host, BACKLOG, resolve);
+    server.listen(port, host, LISTEN_BACKLOG, resolve);
   });
 
 const queryOf = ({ url }: IncomingMessage): URLSearchParams =>
   new URLSearchParams((url ?? '').split('?')[1] ?? '');
 
-/** The addresses on which a host listens: callers, readiness, metrics. */
+/** The HTTP servers of a host: callers, readiness probe, peers and metrics. */
 const newServers = (options: ServersOptions) => {
   const { settings, log, metrics, callers, batches, readSettings, isReady, peerServer } = options;
   let openRequests = 0;
 
-  const onFault = (error: unknown): void =>
+  const logError = (error: unknown): void =>
     log.error('request.broken', { error: (error as Error).stack });
 
-  const on = (handle: AsyncHandler) => handler(onFault, handle);
+  const toHandler = (handle: AsyncHandler) => handler(logError, handle);
 
-  const idOf = (request: HandlerRequest): string => String(request.params.id ?? '');
+  const batchIdOf = (request: HandlerRequest): string => String(request.params.id ?? '');
 
-  const app = polka({ onNoMatch: on(callers.serve) })
+  const app = polka({ onNoMatch: toHandler(callers.serve) })
     .get(
       RESULTS_PATH,
-      on((request, response) => {
+      toHandler((request, response) => {
         const from = Math.max(0, Math.floor(Number(queryOf(request).get('after')) || 0));
-        return batches.read(restoreCallerRequest(request), response, idOf(request), from);
+        return batches.read(restoreCallerRequest(request), response, batchIdOf(request), from);
       }),
     )
     .delete(
       RESULTS_PATH,
-      on((request, response) =>
-        batches.end(restoreCallerRequest(request), response, idOf(request)),
+      toHandler((request, response) =>
+        batches.end(restoreCallerRequest(request), response, batchIdOf(request)),
       ),
     )
     .get(
       ITEM_PATH,
-      on((request, response) => {
+      toHandler((request, response) => {
         const item = queryOf(request).get('id') ?? '';
-        return batches.readItem(restoreCallerRequest(request), response, idOf(request), item);
+        return batches.readItem(restoreCallerRequest(request), response, batchIdOf(request), item);
       }),
     );
 
-  /** The operator's limits on time apply from the next connection or request on. */
+  /** Changed timeouts take effect with the next connection or request. */
   const applyLimits = (server: Server): void => {
     const limits = readSettings()?.settings.limits;
     if (!limits) return;
@@ -89,7 +89,7 @@
     server.keepAliveTimeout = limits.idleTimeoutMs;
   };
 
-  const callerServer = createServer({ maxHeaderSize: MOST_HEADER_BYTES, requestTimeout: 0 });
+  const callerServer = createServer({ maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: 0 });
   callerServer.on('request', (request: IncomingMessage, response: ServerResponse) => {
     openRequests += 1;
     response.once('close', () => {
@@ -117,7 +117,7 @@
       const metricsAddress = { host: settings.address, port: settings.listen.metricsPort };
       await listenOn(metricsServer, metricsAddress);
     },
-    open: (): number => openRequests,
+    openRequestCount: (): number => openRequests,
     close: (): void => {
       [callerServer, readinessServer, peerServer, metricsServer].forEach((server) => {
         server.close();
--- a/apps/host/tests/batchHelpers.ts
+++ b/apps/host/tests/batchHelpers.ts
@@ -1,15 +1,15 @@
 import { HOST_NAME, MODEL } from '@cyclamengate/app-platform-standin/newPlatform';
 import { eventsOf } from '@cyclamengate/app-platform-standin/newEngineServer';
-import { send, until } from './newHosts.js';
+import { send, waitUntil } from './newHosts.js';
 import type { Answer, TestHost } from './newHosts.js';
 
-export interface Page {
+export interface ResultPage {
   total: number;
   'next-token': number;
   results: { id: string; state: string; text: string; versions: number[]; score?: string }[];
 }
 
-/** The body of a batch: groups of items that share a prompt, each with a scoring call. */
+/** Body of a batch with groups of items that share a prompt, and a scoring call for each item. */
 export const batchBody = (name: string, groups: number, size: number, leastVersion = 1): string =>
   JSON.stringify({
     'train-step': 1,
@@ -35,23 +35,27 @@
 export const submit = (host: TestHost, id: string, body: string): Promise<Answer> =>
   send(host, 'POST', '/rounds/', { id, body });
 
-export const readPage = async (host: TestHost, id: string, from = 0): Promise<Page | null> => {
+export const readPage = async (
+  host: TestHost,
+  id: string,
+  from = 0,
+): Promise<ResultPage | null> => {
   const answer = await send(host, 'GET', `/v1/lots/${id}?after=${from}`, {
     headers: { 'wait-ms': '300' },
   });
-  return answer.status === 200 ? (JSON.parse(answer.body) as Page) : null;
+  return answer.status === 200 ? (JSON.parse(answer.body) as ResultPage) : null;
 };
 
 /** Reads until every item has a result. */
-export const readWhole = async (host: TestHost, id: string): Promise<Page> => {
-  let page: Page | null = null;
-  await until(async () => {
+export const readAllResults = async (host: TestHost, id: string): Promise<ResultPage> => {
+  let page: ResultPage | null = null;
+  await waitUntil(async () => {
     page = await readPage(host, id).catch(() => null);
     return page !== null && page.results.length === page.total;
   });
-  return page as unknown as Page;
+  return page as unknown as ResultPage;
 };
 
-/** The text that an item has, whichever engines made it. */
-export const textOf = (item: string): string =>
+/** The expected text of an item; it does not depend on the engines that generate it. */
+export const expectedTextOf = (item: string): string =>
   Array.from({ length: eventsOf(item) }, (_, index) => `${item}/${index + 1}`).join('\n');
--- a/apps/host/tests/hostEnds.process.test.ts
+++ b/apps/host/tests/hostTermination.process.test.ts
@@ -1,34 +1,34 @@
 import newRawSender from '@cyclamengate/fakes/newRawSender';
 import test from 'ava';
-import { batchBody, readWhole, submit, textOf } from './batchHelpers.js';
-import { isReady, send, until } from './newHosts.js';
-import { findRunner, newSystem } from './wholeSystem.js';
+import { batchBody, readAllResults, submit, expectedTextOf } from './batchHelpers.js';
+import { isReady, send, waitUntil } from './newHosts.js';
+import { findRunner, newSystem } from './testSystem.js';
 
 const LARGE_BODY_BYTES = 4_000_000;
 
-test.serial('a batch goes on when the host that runs it is killed', async (t) => {
-  // The host that runs a batch dies in the middle of it. Its trainer reads at another host and
-  // notices a pause, no more: nothing is lost, nothing stands twice.
+test.serial('a batch completes on another host when the host that runs it is killed', async (t) => {
+  // Guards against items that are lost or returned twice when the host that runs a batch is killed in
+  // the middle of it, while the trainer reads the results from another host.
   const { platform, system, first, close } = await newSystem();
   platform.engines.forEach(({ faults }) => {
     faults.slowness = 20;
   });
   t.is((await submit(first, 'b3', batchBody('b3', 2, 4))).status, 202);
-  await until(() => platform.engines.some(({ runs }) => runs.length > 0));
+  await waitUntil(() => platform.engines.some(({ runs }) => runs.length > 0));
   const runner = await findRunner(system.hosts);
   await runner.end('SIGKILL');
   platform.engines.forEach(({ faults }) => {
     faults.slowness = 1;
   });
   const survivor = system.hosts.find((host) => host !== runner) as typeof first;
-  const page = await readWhole(survivor, 'b3');
+  const page = await readAllResults(survivor, 'b3');
   t.is(new Set(page.results.map(({ id }) => id)).size, 8);
-  t.true(page.results.every(({ id, text }) => text === textOf(id)));
+  t.true(page.results.every(({ id, text }) => text === expectedTextOf(id)));
   await close();
 });
 
-test.serial('a host that is stopped is no longer ready, and cuts off no request', async (t) => {
-  // The platform stops hosts in turn. Callers whose requests are under way get their answers.
+test.serial('a stopping host is no longer ready, and completes its open requests', async (t) => {
+  // Guards against open requests that fail when the platform stops a host, as in a rolling restart.
   const { first, close } = await newSystem(1);
   const asked = Array.from({ length: 8 }, (_, index) =>
     send(first, 'POST', '/lookup/7', { id: `s${index}`, body: 'x' }),
@@ -41,23 +41,23 @@
   await close();
 });
 
-test.serial('the texts of a host that is stopped go on at the next one', async (t) => {
-  // The host that runs a batch is stopped in the middle of it. Its trainer notices nothing: the
-  // items go on at another host, after the events that there were.
+test.serial('the items of a stopping host are resumed on another host', async (t) => {
+  // Guards against items that start over when the host that runs a batch is stopped in the middle of
+  // it: the next host resumes their streams after the last event.
   const { platform, system, first, close } = await newSystem();
   platform.engines.forEach(({ faults }) => {
     faults.slowness = 15;
   });
   t.is((await submit(first, 'b9', batchBody('b9', 2, 4))).status, 202);
-  await until(() => platform.engines.some(({ runs }) => runs.length > 0));
+  await waitUntil(() => platform.engines.some(({ runs }) => runs.length > 0));
   await new Promise((resolve) => {
     setTimeout(resolve, 700);
   });
   const runner = await findRunner(system.hosts);
   const ended = runner.end('SIGTERM');
   const survivor = system.hosts.find((host) => host !== runner) as typeof first;
-  const page = await readWhole(survivor, 'b9');
-  t.true(page.results.every(({ id, text }) => text === textOf(id)));
+  const page = await readAllResults(survivor, 'b9');
+  t.true(page.results.every(({ id, text }) => text === expectedTextOf(id)));
   const resumed = platform.engines.flatMap(({ runs }) => runs).filter((r) => r.lastEventId > 0);
   t.true(resumed.length > 0);
   await ended;
@@ -65,8 +65,8 @@
   await close();
 });
 
-test.serial('a host that is stopped refuses a large body to its sender', async (t) => {
-  // Guards against a sender that sees EPIPE in place of the refusal, and sends the same body again.
+test.serial('a stopping host refuses a large body without resetting the connection', async (t) => {
+  // Guards against a sender that gets EPIPE instead of the refusal, and sends the same body again.
   const { first, close } = await newSystem(1);
   t.teardown(close);
   const [address = '', port] = first.callers.split(':');
@@ -75,9 +75,9 @@
   const headOf = (bytes: number): string =>
     `POST /lookup/7 HTTP/1.1\r\nhost: x\r\ncontent-length: ${bytes}\r\n\r\n`;
   socket.write(`${headOf(1)}x`);
-  await until(() => takeText() !== '');
+  await waitUntil(() => takeText() !== '');
   const ended = first.end('SIGTERM');
-  await until(async () => !(await isReady(first)));
+  await waitUntil(async () => !(await isReady(first)));
   socket.write(headOf(LARGE_BODY_BYTES));
   await writeBody(LARGE_BODY_BYTES);
   await closed;
--- a/apps/host/tests/newHosts.ts
+++ b/apps/host/tests/newHosts.ts
@@ -13,19 +13,19 @@
 import { stringify } from 'yaml';
 
 const PROGRAM = fileURLToPath(new URL('../src/main.js', import.meta.url));
-const START_MS = 15_000;
-/** Names a folder in which the hosts' lines are kept. */
-const LOGS_VARIABLE = 'TEST_LOGS_FOLDER';
+const START_TIMEOUT_MS = 15_000;
+/** Environment variable with the folder to which the hosts' logs are written; unset for none. */
+const LOG_FOLDER_VARIABLE = 'TEST_LOGS_FOLDER';
 
-/** One host's process. */
+/** A host that runs as a process of its own. */
 export interface TestHost {
   name: string;
   callers: string;
   readiness: string;
   child: ChildProcess;
-  /** Events that it logged, oldest first. */
+  /** Log events of the process, oldest first. */
   events: Record<string, unknown>[];
-  /** Sends a signal and waits until the process is gone. */
+  /** Sends a signal and waits until the process has exited. */
   end: (signal: NodeJS.Signals) => Promise<void>;
 }
 
@@ -65,9 +65,9 @@
   };
 };
 
-/** Waits for a condition; a test's own timeout ends a wait that never succeeds. */
-export const until = async (isTrue: () => Promise<boolean> | boolean): Promise<void> => {
-  while (!(await isTrue())) {
+/** Polls a condition until it is met; the timeout of the test ends a wait that never succeeds. */
+export const waitUntil = async (isMet: () => Promise<boolean> | boolean): Promise<void> => {
+  while (!(await isMet())) {
     await new Promise((resolve) => {
       setTimeout(resolve, 25);
     });
@@ -84,12 +84,12 @@
   }
 };
 
-const keepLines = ({ stdout, pid }: ChildProcess, name: string): void => {
-  const folder = process.env[LOGS_VARIABLE];
+const saveLog = ({ stdout, pid }: ChildProcess, name: string): void => {
+  const folder = process.env[LOG_FOLDER_VARIABLE];
   if (folder) stdout?.pipe(createWriteStream(join(folder, `${name}-${pid}.jsonl`)));
 };
 
-/** Starts hosts as separate processes against a stand-in platform; ends only these. */
+/** Starts hosts as separate processes against a stand-in platform. */
 export const newHosts = async (platform: Platform, domains: string[]) => {
   const folder = await mkdtemp(join(tmpdir(), 'cyclamengate-hosts-'));
   const hosts: TestHost[] = [];
@@ -122,12 +122,12 @@
     const child = spawn(process.execPath, [PROGRAM, '--settings', path], {
       stdio: ['ignore', 'pipe', 'inherit'],
     });
-    keepLines(child, name);
+    saveLog(child, name);
     const events: Record<string, unknown>[] = [];
-    let rest = '';
+    let incompleteLine = '';
     child.stdout?.on('data', (chunk: Buffer) => {
-      const lines = (rest + chunk.toString()).split('\n');
-      rest = lines.pop() ?? '';
+      const lines = (incompleteLine + chunk.toString()).split('\n');
+      incompleteLine = lines.pop() ?? '';
       events.push(...lines.map((line) => JSON.parse(line) as Record<string, unknown>));
     });
     const end = async (signal: NodeJS.Signals): Promise<void> => {
@@ -149,8 +149,8 @@
   };
 
   await Promise.all(domains.map((domain, index) => start(`host-${index}`, domain)));
-  const deadline = Date.now() + START_MS;
-  await until(async () => {
+  const deadline = Date.now() + START_TIMEOUT_MS;
+  await waitUntil(async () => {
     const ready = await Promise.all(hosts.map(isReady));
     return ready.every(Boolean) || Date.now() > deadline;
   });
--- a/apps/host/tests/wholeSystem.ts
+++ b/apps/host/tests/testSystem.ts
@@ -1,10 +1,10 @@
 import newPlatform from '@cyclamengate/app-platform-standin/newPlatform';
-import { newHosts, until } from './newHosts.js';
+import { newHosts, waitUntil } from './newHosts.js';
 import type { TestHost } from './newHosts.js';
 
 const DOMAINS = ['detroit', 'cleveland'];
 
-/** A platform with engines, and hosts in both failure domains. */
+/** A stand-in platform with engines, and hosts in both failure domains. */
 export const newSystem = async (enginesADomain = 2, count = 3) => {
   const platform = await newPlatform({ domains: DOMAINS, enginesADomain });
   const domains = Array.from({ length: count }, (_, index) => DOMAINS[index % 2] ?? 'detroit');
@@ -18,10 +18,10 @@
   return { platform, system, first, second, third, close };
 };
 
-/** The host that runs items. An engine's run reaches this process by a socket, the line by a pipe. */
+/** Waits for the host that runs items: its log event may arrive after the engine has the request. */
 export const findRunner = async (hosts: TestHost[]): Promise<TestHost> => {
   const find = (): TestHost | undefined =>
     hosts.find(({ events }) => events.some(({ event }) => event === 'item.started'));
-  await until(() => find() !== undefined);
+  await waitUntil(() => find() !== undefined);
   return find() as TestHost;
 };
