--- a/apps/host/src/followPlatform.ts
+++ b/apps/host/src/followPlatform.ts
@@ -1,6 +1,6 @@
-import restoreNamedVersion from '@cyclamengate/adapter/restoreNamedVersion';
-import restoreOperatorSettings from '@cyclamengate/adapter/restoreOperatorSettings';
-import restoreUpstream from '@cyclamengate/adapter/restoreUpstream';
+import parseNamedVersion from '@cyclamengate/adapter/parseNamedVersion';
+import parseOperatorSettings from '@cyclamengate/adapter/parseOperatorSettings';
+import parseUpstream from '@cyclamengate/adapter/parseUpstream';
 import type Clock from '@cyclamengate/common/Clock';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 import type { NewestVersion } from '@cyclamengate/engines/findDueLoads';
@@ -34,13 +34,13 @@
   const versions = new Map<string, NewestVersion>();
 
   const applySettings = (value: Buffer, offset: number): void => {
-    const settings = restoreOperatorSettings(value);
+    const settings = parseOperatorSettings(value);
     if (settings.ok) settingsView.put(settings.val);
     else log.error('settings.unreadable', { offset, problems: settings.val.slice(0, 5) });
   };
 
   const applyVersion = (value: Buffer, offset: number): void => {
-    const named = restoreNamedVersion(value);
+    const named = parseNamedVersion(value);
     if (!named) {
       log.error('version.unreadable', { offset });
       return;
@@ -61,7 +61,7 @@
       directory.drop(key);
       return;
     }
-    const entry = restoreUpstream(key, value);
+    const entry = parseUpstream(key, value);
     if (entry.ok) directory.put(entry.val);
     else log.warn('upstream.unreadable', { upstream: key, problems: entry.val.slice(0, 3) });
   };
--- a/apps/host/src/newBatchHandlers.ts
+++ b/apps/host/src/newBatchHandlers.ts
@@ -1,5 +1,5 @@
 import type { ServerResponse } from 'node:http';
-import { formatResults, restoreBatch } from '@cyclamengate/adapter/batchCalls';
+import { formatResults, parseBatch } from '@cyclamengate/adapter/batchCalls';
 import { refusalHeaders } from '@cyclamengate/adapter/callerRequest';
 import type { CallerRequest } from '@cyclamengate/adapter/callerRequest';
 import type { Item } from '@cyclamengate/batches/batchRecord';
@@ -89,7 +89,7 @@
     body: Buffer,
   ): Promise<void> => {
     const id = request.requestId ?? '';
-    const submitted = restoreBatch(body);
+    const submitted = parseBatch(body);
     if (!submitted.ok || id === '') {
       const problems = submitted.ok ? 'no id' : submitted.val;
       log.warn('batch.malformed', { batch: id, problems });
--- a/apps/host/src/newCallerHandler.ts
+++ b/apps/host/src/newCallerHandler.ts
@@ -1,5 +1,5 @@
 import type { ServerResponse } from 'node:http';
-import { refusalHeaders, restoreCallerRequest } from '@cyclamengate/adapter/callerRequest';
+import { parseCallerRequest, refusalHeaders } from '@cyclamengate/adapter/callerRequest';
 import type { CallerRequest } from '@cyclamengate/adapter/callerRequest';
 import type Clock from '@cyclamengate/common/Clock';
 import type { HandlerRequest } from '@cyclamengate/common/handler';
@@ -78,7 +78,7 @@
   };
 
   const deadlineOf = (route: Route, request: CallerRequest, arrivedAt: number): number =>
-    arrivedAt + Math.min(route.timeoutMs, request.patienceMs ?? Number.POSITIVE_INFINITY);
+    arrivedAt + Math.min(route.timeoutMs, request.timeoutMs ?? Number.POSITIVE_INFINITY);
 
   const relayRequest = async (
     request: CallerRequest,
@@ -132,7 +132,7 @@
 
   const serve = async (request: HandlerRequest, response: ServerResponse): Promise<void> => {
     const arrivedAt = clock.now();
-    const caller = restoreCallerRequest(request);
+    const caller = parseCallerRequest(request);
     if (options.isLeaving()) response.setHeader('connection', 'close');
     const effective = readSettings();
     const route = effective && findRoute(effective, caller.hostName, caller.path);
--- a/apps/host/src/newHost.ts
+++ b/apps/host/src/newHost.ts
@@ -231,7 +231,7 @@
     isReady: () => settingsView.read() !== null && !isLeaving,
   });
 
-  /** Hands over the batches to hosts that reach the store; @returns whether a peer announced that. */
+  /** Hands over batches to hosts that reach the store; @returns whether a peer announced the leave. */
   const leave = async (): Promise<boolean> => {
     const isAnnounced = peers.announce({ ...coordination.nextHeartbeat(), isLeaving: true });
     await runner.handOver('cut off');
--- a/apps/host/src/newServers.ts
+++ b/apps/host/src/newServers.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { ITEM_PATH, RESULTS_PATH } from '@cyclamengate/adapter/batchCalls';
-import { restoreCallerRequest } from '@cyclamengate/adapter/callerRequest';
+import { parseCallerRequest } from '@cyclamengate/adapter/callerRequest';
 import { handler } from '@cyclamengate/common/handler';
 import type { AsyncHandler, HandlerRequest } from '@cyclamengate/common/handler';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
@@ -64,20 +64,20 @@
       RESULTS_PATH,
       toHandler((request, response) => {
         const from = Math.max(0, Math.floor(Number(queryOf(request).get('after')) || 0));
-        return batches.read(restoreCallerRequest(request), response, batchIdOf(request), from);
+        return batches.read(parseCallerRequest(request), response, batchIdOf(request), from);
       }),
     )
     .delete(
       RESULTS_PATH,
       toHandler((request, response) =>
-        batches.end(restoreCallerRequest(request), response, batchIdOf(request)),
+        batches.end(parseCallerRequest(request), response, batchIdOf(request)),
       ),
     )
     .get(
       ITEM_PATH,
       toHandler((request, response) => {
         const item = queryOf(request).get('id') ?? '';
-        return batches.readItem(restoreCallerRequest(request), response, batchIdOf(request), item);
+        return batches.readItem(parseCallerRequest(request), response, batchIdOf(request), item);
       }),
     );
 
