--- a/apps/host/src/newBatchHandlers.ts
+++ b/apps/host/src/newBatchHandlers.ts
@@ -34,13 +34,14 @@
   clock: Clock;
   log: EventLog;
   store: BatchStore;
-  keep: BatchKeeper['keep'];
+  /** Writes a record to the store, through other hosts if this one can't reach it. */
+  storeRecord: BatchKeeper['keep'];
   readSettings: () => EffectiveSettings | null;
 }
 
 /** Handlers of the batch calls. They answer from the store's records, so all hosts answer alike. */
 const newBatchHandlers = (options: BatchHandlerOptions) => {
-  const { clock, log, store, keep, readSettings } = options;
+  const { clock, log, store, storeRecord, readSettings } = options;
   const { batches } = store;
   const pages = newResultPages({ clock, readTexts: store.texts.read });
 
@@ -110,7 +111,7 @@
       ...submitted.val,
     };
     const outcome = await keepOrSee(
-      { clock, batches, keep },
+      { clock, batches, keep: storeRecord },
       record,
       clock.now() + ACCEPT_TIMEOUT_MS,
     );
@@ -210,7 +211,7 @@
     }
     const outcome = found.isEnded
       ? 'written'
-      : await keep({ type: 'batch-end', batch: id }, clock.now() + END_TIMEOUT_MS);
+      : await storeRecord({ type: 'batch-end', batch: id }, clock.now() + END_TIMEOUT_MS);
     log.info('batch.ended', { batch: id, outcome, results: found.results.length });
     if (outcome === 'written') sendJson(response, 200, {});
     else refuse(response, request, id, uncertain('store-silent', 504));
--- a/apps/host/src/newBatchStore.ts
+++ b/apps/host/src/newBatchStore.ts
@@ -26,7 +26,7 @@
 const TOPIC = 'batches';
 /** Partial texts of running items; read by a host that takes over a batch. */
 const PARTS_TOPIC = 'parts';
-/** Minimum time between two reads: limits the calls of many hosts, but delays results as much. */
+/** Minimum time between two reads: limits the calls of many hosts, but delays results by as much. */
 const READ_INTERVAL_MS = 80;
 
 /** Results are due 7.5 s after the batch was first sent; a batch stored later than this is useless. */
--- a/apps/host/src/newHost.ts
+++ b/apps/host/src/newHost.ts
@@ -133,7 +133,7 @@
     if (model !== null)
       allowedLags.note(model, platform.newestVersion(model).version, leastVersion);
   });
-  const cutWatch = newCutWatch({
+  const partitionWatch = newCutWatch({
     clock,
     log,
     freshAt: batchStore.freshAt,
@@ -153,7 +153,11 @@
     isOwner: (subject) => !isLeaving && coordination.owns(`batches/${subject}`),
     mayWork: ({ isKept }) => {
       const { freshAt, isUnreachable } = batchStore;
-      const known = { freshAt: freshAt(), isAway: isUnreachable(), isCutOff: cutWatch.isCutOff() };
+      const known = {
+        freshAt: freshAt(),
+        isAway: isUnreachable(),
+        isCutOff: partitionWatch.isCutOff(),
+      };
       return mayStartWork(clock.now(), known, isKept);
     },
     isListed: (id) => directory.find(id) !== undefined,
@@ -194,7 +198,7 @@
     health.forget(entry.id);
   });
 
-  const keeper = newBatchKeeper({
+  const batchWriter = newBatchKeeper({
     clock,
     log,
     write: batchStore.write,
@@ -205,7 +209,7 @@
     clock,
     log,
     store: batchStore,
-    keep: keeper.keep,
+    storeRecord: batchWriter.keep,
     readSettings: settingsView.read,
   });
   const callers = newCallerHandler({
@@ -245,7 +249,9 @@
     tasks.start('batches', batchStore.run);
     tasks.start('items', runner.run);
     tasks.start('duties', duties.run);
-    tasks.start('cut watch', (signal) => cutWatch.run({ openItems: runner.open, leave }, signal));
+    tasks.start('cut watch', (signal) =>
+      partitionWatch.run({ openItems: runner.open, leave }, signal),
+    );
   };
 
   const registerGauges = (): void => {
