--- a/packages/common/src/Clock.ts
+++ b/packages/common/src/Clock.ts
@@ -1,9 +1,9 @@
-/** Time as a process sees it. Leases and timeouts use the monotonic side, windows the wall side. */
+/** The clock of a process. Leases and timeouts use monotonic time, usage windows use wall time. */
 export default abstract class Clock {
-  /** Milliseconds on a monotonic clock; only differences within one process mean anything. */
+  /** Monotonic time in milliseconds. Only values of the same process may be compared. */
   abstract now(): number;
 
-  /** Milliseconds since the epoch. May step; never decides a lease or a timeout. */
+  /** Milliseconds since the epoch. May jump, so it must not be used for leases or timeouts. */
   abstract wallTime(): number;
 
   /** Resolves once `now()` has reached the deadline, or at once when the signal aborts. */
--- a/packages/common/src/assertNever.ts
+++ b/packages/common/src/assertNever.ts
@@ -1,4 +1,4 @@
-/** Closes an exhaustive switch. Reaching it at run time is a broken invariant and throws. */
+/** Marks the unreachable case of an exhaustive switch. Throws if it is reached at run time. */
 const assertNever = (value: never): never => {
   throw new Error(`unexpected value: ${JSON.stringify(value)}`);
 };
--- a/packages/common/src/groupBy.ts
+++ b/packages/common/src/groupBy.ts
@@ -1,11 +1,11 @@
-/** Things by what a function says of them, in their order. */
-const groupBy = <K, T>(things: readonly T[], keyOf: (thing: T) => K): Map<K, T[]> => {
+/** Groups items by key. Each group keeps the order of the input. */
+const groupBy = <K, T>(items: readonly T[], keyOf: (item: T) => K): Map<K, T[]> => {
   const groups = new Map<K, T[]>();
-  things.forEach((thing) => {
-    const key = keyOf(thing);
+  items.forEach((item) => {
+    const key = keyOf(item);
     const group = groups.get(key);
-    if (group) group.push(thing);
-    else groups.set(key, [thing]);
+    if (group) group.push(item);
+    else groups.set(key, [item]);
   });
   return groups;
 };
--- a/packages/common/src/handler.ts
+++ b/packages/common/src/handler.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** A request as polka hands it on. */
+/** A request as polka passes it to a handler. */
 export type HandlerRequest = IncomingMessage & {
   path: string;
   originalUrl: string;
@@ -10,7 +10,7 @@
 
 export type AsyncHandler = (request: HandlerRequest, response: ServerResponse) => Promise<void>;
 
-/** Answers with a JSON body; does nothing when an answer has begun already. */
+/** Answers with a JSON body; does nothing when the response has already started. */
 export const sendJson = (
   response: ServerResponse,
   status: number,
@@ -28,14 +28,15 @@
 };
 
 /**
- * polka leaves a rejected handler unhandled, which would leave the caller waiting and stop the
- * process. Here it becomes an answer and a report.
+ * Wraps an async handler for polka, which does not catch rejections: the caller would wait without
+ * an answer and the unhandled rejection would stop the process. A rejection is reported to
+ * `onError` and answered with status 500.
  */
 export const handler =
-  (onFault: (error: unknown) => void, handle: AsyncHandler) =>
+  (onError: (error: unknown) => void, handle: AsyncHandler) =>
   (request: HandlerRequest, response: ServerResponse): void => {
     handle(request, response).catch((error: unknown) => {
-      onFault(error);
+      onError(error);
       sendJson(response, 500, { error: { code: 'internal', outcome: 'unknown' } });
       if (!response.writableEnded) response.destroy();
     });
--- a/packages/common/src/invariant.ts
+++ b/packages/common/src/invariant.ts
@@ -1,4 +1,6 @@
-/** Thrown when the program contradicts itself. Never caught for recovery: it stops the process. */
+/**
+ * Throws when the condition is false. The error is never caught for recovery: it stops the process.
+ */
 const invariant: (condition: boolean, message: string) => asserts condition = (
   condition,
   message,
--- a/packages/common/src/limits.ts
+++ b/packages/common/src/limits.ts
@@ -1,8 +1,8 @@
-/** Sizes and times that more than one program holds to. */
+/** Limits shared by several programs. */
 
-/** A request's body; larger ones are refused. */
+/** Maximum size of a request body; larger ones are refused. */
 export const LARGEST_BODY_BYTES = 1_048_576;
-/** All headers of a request together. */
+/** Maximum size of all headers of a request together. */
 export const LARGEST_HEADERS_BYTES = 16_384;
-/** A sender must have its whole body over within this time. */
+/** Time within which a sender must have sent its complete body. */
 export const BODY_TIMEOUT_MS = 10_000;
--- a/packages/common/src/newEventLog.ts
+++ b/packages/common/src/newEventLog.ts
@@ -2,10 +2,10 @@
 import newLogger from './newLogger.js';
 import type { LogLine } from './newLogger.js';
 
-const STANDARD_OUTPUT = 1;
+const STDOUT_FD = 1;
 const INFO_LEVEL = 3;
-/** Lines that wait for the reader of the output; beyond this they are counted, not kept. */
-const MOST_WAITING_BYTES = 262_144;
+/** Maximum size of the lines waiting to be written; beyond it, lines are dropped and counted. */
+const MAX_BUFFERED_BYTES = 262_144;
 
 export type EventFields = Record<string, unknown>;
 
@@ -16,29 +16,29 @@
 }
 
 /**
- * Lines that wait to be written, within a bound.
+ * A bounded buffer of lines for standard output.
  *
- * Standard output is often a pipe, and a write to a full pipe blocks the whole process: a reader of
- * logs that stands still would stop the service. Lines are written by a background call, one at a
- * time; those that do not fit into the bound are left out, and a line tells how many.
+ * Standard output is often a pipe, and a synchronous write to a full pipe blocks the process, so a
+ * stalled log reader would stop the service. Lines are written asynchronously, one write at a time.
+ * Lines that exceed the bound are dropped, and a later line reports how many.
  */
-const newLineBuffer = (onLeftOut: (count: number) => string) => {
-  let waiting: string[] = [];
-  let waitingBytes = 0;
-  let leftOut = 0;
+const newLineBuffer = (formatDropped: (count: number) => string) => {
+  let buffered: string[] = [];
+  let bufferedBytes = 0;
+  let droppedLines = 0;
   let isWriting = false;
 
   const flush = (): void => {
-    if (isWriting || waiting.length === 0) return;
-    const chunk = Buffer.from(waiting.join(''));
-    waiting = [];
-    waitingBytes = 0;
+    if (isWriting || buffered.length === 0) return;
+    const chunk = Buffer.from(buffered.join(''));
+    buffered = [];
+    bufferedBytes = 0;
     isWriting = true;
     let written = 0;
     const writeRest = (): void =>
-      write(STANDARD_OUTPUT, chunk, written, chunk.length - written, null, (error, bytes) => {
+      write(STDOUT_FD, chunk, written, chunk.length - written, null, (error, bytes) => {
         written += error ? 0 : bytes;
-        // A full pipe in non-blocking mode says EAGAIN: the rest is tried again a little later.
+        // A full pipe in non-blocking mode fails with EAGAIN: the rest is retried after 20 ms.
         const isFull = error?.code === 'EAGAIN';
         if ((!error || isFull) && written < chunk.length) {
           setTimeout(writeRest, isFull ? 20 : 0);
@@ -51,16 +51,16 @@
   };
 
   return (line: string): void => {
-    if (waitingBytes + line.length > MOST_WAITING_BYTES) {
-      leftOut += 1;
+    if (bufferedBytes + line.length > MAX_BUFFERED_BYTES) {
+      droppedLines += 1;
       return;
     }
-    if (leftOut > 0 && waitingBytes === 0) {
-      waiting.push(onLeftOut(leftOut));
-      leftOut = 0;
+    if (droppedLines > 0 && bufferedBytes === 0) {
+      buffered.push(formatDropped(droppedLines));
+      droppedLines = 0;
     }
-    waiting.push(line);
-    waitingBytes += line.length;
+    buffered.push(line);
+    bufferedBytes += line.length;
     setImmediate(flush);
   };
 };
@@ -70,12 +70,15 @@
   return `${JSON.stringify({ time, level: _meta.logLevelName, host, ...fields })}\n`;
 };
 
-/** Events of one process as JSON lines on standard output. Never blocks, never holds a key. */
+/**
+ * Writes the events of one process as JSON lines to standard output. Never blocks, and masks
+ * callers' keys.
+ */
 const newEventLog = (host: string): EventLog => {
-  const put = newLineBuffer(
+  const writeLine = newLineBuffer(
     (count) => `${JSON.stringify({ event: 'log.left-out', host, count })}\n`,
   );
-  const logger = newLogger(host, INFO_LEVEL, (line) => put(format(host, line)));
+  const logger = newLogger(host, INFO_LEVEL, (line) => writeLine(format(host, line)));
   return {
     info: (event, fields) => logger.info({ event, ...fields }),
     warn: (event, fields) => logger.warn({ event, ...fields }),
--- a/packages/common/src/newLogger.ts
+++ b/packages/common/src/newLogger.ts
@@ -1,11 +1,11 @@
 import { Logger } from 'tslog';
 
-/** Caller keys look like `cgk_…`; whatever reaches a log line is masked, also inside texts. */
+/** Matches caller keys (`cgk_…`), also inside longer strings, to mask them in log lines. */
 const CALLER_KEY = /cgk_[\w-]+/g;
 
 export type Log = Logger<unknown>;
 
-/** What is to be logged, with the logger's own fields under `_meta`. */
+/** A log line, with the logger's own fields under `_meta`. */
 export interface LogLine {
   _meta: { date: Date; logLevelName: string };
   [field: string]: unknown;
@@ -16,8 +16,8 @@
 };
 
 /**
- * One JSON object a line, with caller keys masked wherever they stand.
- * @param write takes a line; standard error by default
+ * Creates a logger that writes one JSON object per line, with caller keys masked.
+ * @param write writes one line; standard error by default
  */
 const newLogger = (program: string, minLevel = 3, write = writeToStandardError): Log =>
   new Logger<unknown>({
--- a/packages/common/src/newMetrics.ts
+++ b/packages/common/src/newMetrics.ts
@@ -1,28 +1,28 @@
 import { build } from 'hdr-histogram-js';
 import type { Histogram } from 'hdr-histogram-js';
 
-const HIGHEST_LATENCY_MICROSECONDS = 600_000_000;
+const MAX_LATENCY_MICROSECONDS = 600_000_000;
 const PERCENTILES = [50, 90, 99, 99.9];
 
-/** Counters, gauges and latency histograms of one process, readable as Prometheus text. */
+/** Counters, gauges and latency histograms of one process, exported as Prometheus text. */
 const newMetrics = () => {
   const counters = new Map<string, number>();
   const gauges = new Map<string, () => number>();
   const histograms = new Map<string, Histogram>();
 
   const histogram = (name: string): Histogram => {
-    const known = histograms.get(name);
-    if (known) return known;
+    const existing = histograms.get(name);
+    if (existing) return existing;
     const created = build({
       bitBucketSize: 'packed',
-      highestTrackableValue: HIGHEST_LATENCY_MICROSECONDS,
+      highestTrackableValue: MAX_LATENCY_MICROSECONDS,
       numberOfSignificantValueDigits: 2,
     });
     histograms.set(name, created);
     return created;
   };
 
-  const histogramText = (name: string, recorded: Histogram): string[] => [
+  const formatHistogram = (name: string, recorded: Histogram): string[] => [
     ...PERCENTILES.map(
       (percentile) =>
         `${name}_microseconds{quantile="${percentile / 100}"} ${recorded.getValueAtPercentile(percentile)}`,
@@ -38,17 +38,17 @@
     gauge: (name: string, read: () => number): void => {
       gauges.set(name, read);
     },
-    /** @param durationMs how long it took, in milliseconds */
+    /** @param durationMs the observed duration in milliseconds */
     observe: (name: string, durationMs: number): void => {
       histogram(name).recordValue(
-        Math.min(HIGHEST_LATENCY_MICROSECONDS, Math.max(0, Math.round(durationMs * 1000))),
+        Math.min(MAX_LATENCY_MICROSECONDS, Math.max(0, Math.round(durationMs * 1000))),
       );
     },
     text: (): string =>
       [
         ...[...counters].map(([name, value]) => `${name} ${value}`),
         ...[...gauges].map(([name, read]) => `${name} ${read()}`),
-        ...[...histograms].flatMap(([name, recorded]) => histogramText(name, recorded)),
+        ...[...histograms].flatMap(([name, recorded]) => formatHistogram(name, recorded)),
         '',
       ].join('\n'),
   };
--- a/packages/common/src/newNotifier.ts
+++ b/packages/common/src/newNotifier.ts
@@ -1,24 +1,24 @@
 import type Clock from './Clock.js';
 
-/** Lets one task wait for a deadline or for another task's word, whichever is first. */
+/** Lets one task wait for a deadline or for a notification by another task, whichever is first. */
 const newNotifier = (clock: Clock) => {
   let isNotified = false;
-  let waiting: AbortController | null = null;
+  let sleepController: AbortController | null = null;
 
   const notify = (): void => {
     isNotified = true;
-    // Without a reason an error with its stack would be made each time.
-    waiting?.abort('woken');
+    // The reason avoids creating an error with a stack trace on every abort.
+    sleepController?.abort('woken');
   };
 
   return {
     notify,
-    /** Returns at once where the word came since the last wait. */
+    /** Returns at once if a notification has arrived since the last wait. */
     wait: async (deadline: number): Promise<void> => {
       if (!isNotified) {
-        waiting = new AbortController();
-        await clock.sleepUntil(deadline, waiting.signal);
-        waiting = null;
+        sleepController = new AbortController();
+        await clock.sleepUntil(deadline, sleepController.signal);
+        sleepController = null;
       }
       isNotified = false;
     },
--- a/packages/common/src/newSystemClock.ts
+++ b/packages/common/src/newSystemClock.ts
@@ -1,28 +1,28 @@
 import Clock from './Clock.js';
 
-/** setTimeout counts in 32 bits; a longer sleep is taken in pieces. */
-const LONGEST_TIMER_MS = 2_000_000_000;
+/** setTimeout takes a signed 32-bit delay; longer sleeps are split into several timers. */
+const MAX_TIMER_DELAY_MS = 2_000_000_000;
 
-const sleepPiece = (delayMs: number, signal?: AbortSignal): Promise<void> =>
+const sleepOnce = (delayMs: number, signal?: AbortSignal): Promise<void> =>
   new Promise((resolve) => {
     if (signal?.aborted) {
       resolve();
       return;
     }
-    const stop = new AbortController();
+    const listenerController = new AbortController();
     const timer = setTimeout(() => {
-      // Without a reason an error with its stack would be made each time.
-      stop.abort('over');
+      // The reason avoids creating an error with a stack trace on every abort.
+      listenerController.abort('over');
       resolve();
     }, delayMs);
     const onAbort = (): void => {
       clearTimeout(timer);
       resolve();
     };
-    signal?.addEventListener('abort', onAbort, { once: true, signal: stop.signal });
+    signal?.addEventListener('abort', onAbort, { once: true, signal: listenerController.signal });
   });
 
-/** The clock of the machine. */
+/** The clock of this machine. */
 const newSystemClock = (): Clock => {
   class SystemClock extends Clock {
     now(): number {
@@ -35,9 +35,9 @@
 
     async sleepUntil(deadline: number, signal?: AbortSignal): Promise<void> {
       while (!signal?.aborted) {
-        const left = deadline - this.now();
-        if (left <= 0) return;
-        await sleepPiece(Math.min(Math.ceil(left), LONGEST_TIMER_MS), signal);
+        const remainingMs = deadline - this.now();
+        if (remainingMs <= 0) return;
+        await sleepOnce(Math.min(Math.ceil(remainingMs), MAX_TIMER_DELAY_MS), signal);
       }
     }
   }
--- a/packages/common/src/newTaskGroup.ts
+++ b/packages/common/src/newTaskGroup.ts
@@ -8,17 +8,17 @@
 }
 
 /**
- * The long-running tasks of one process. A task ends when the signal aborts; one that throws has
- * broken an invariant and stops the process.
+ * The long-running tasks of one process. A task ends when the signal aborts. A task that throws has
+ * violated an invariant: it is passed to `onFailure`, which stops the process.
  */
-const newTaskGroup = (onBroken: (name: string, error: unknown) => void): TaskGroup => {
+const newTaskGroup = (onFailure: (name: string, error: unknown) => void): TaskGroup => {
   const controller = new AbortController();
-  // Every wait of every task listens to it; Node.js would take that for a leak.
+  // Every wait of every task adds a listener, which Node.js would report as a leak.
   setMaxListeners(0, controller.signal);
   const running = new Set<Promise<void>>();
 
   const start = (name: string, task: (signal: AbortSignal) => Promise<void>): void => {
-    const run = task(controller.signal).catch((error: unknown) => onBroken(name, error));
+    const run = task(controller.signal).catch((error: unknown) => onFailure(name, error));
     running.add(run);
     run.finally(() => running.delete(run));
   };
--- a/packages/common/src/outcome.ts
+++ b/packages/common/src/outcome.ts
@@ -1,6 +1,6 @@
 /**
- * Results as values. `ts-results` ships CommonJS without named exports that an ES module can see,
- * so it is unwrapped here once.
+ * Results as values. `ts-results` is a CommonJS package without named exports that an ES module can
+ * import, so its exports are unwrapped here.
  */
 import tsResults from 'ts-results';
 import type { Result as TsResult } from 'ts-results';
--- a/packages/common/src/parseRecord.ts
+++ b/packages/common/src/parseRecord.ts
@@ -1,6 +1,6 @@
 import { parseJson } from './readBody.js';
 
-/** A record's JSON as a value of unknown shape; null, which no schema takes, for what is none. */
+/** Parses a record's JSON. Returns null, which every schema rejects, for invalid JSON. */
 const parseRecord = (body: Buffer): unknown => {
   const parsed = parseJson(body.toString());
   return parsed.ok ? parsed.val : null;
--- a/packages/common/src/readBody.ts
+++ b/packages/common/src/readBody.ts
@@ -2,12 +2,13 @@
 import { Err, Ok } from './outcome.js';
 import type { Result } from './outcome.js';
 
-/** Why a request's body could not be taken. */
+/** Why a request's body could not be read. */
 export type BodyFault = 'too-large' | 'too-slow' | 'not-json' | 'aborted';
 
 /**
- * Reads a whole body within a size and a time. A sender that dribbles its bytes would otherwise
- * hold a connection and its memory for ever. The connection stays open for the refusal.
+ * Reads a complete request body within limits of size and time. Without them, a sender that
+ * trickles its bytes would occupy a connection and its memory indefinitely. The connection stays
+ * open so that a refusal can be sent.
  */
 export const readBody = (
   request: IncomingMessage,
@@ -21,7 +22,7 @@
     const finish = (result: Result<Buffer, BodyFault>): void => {
       clearTimeout(timer);
       request.removeAllListeners('data');
-      // What still comes is read and forgotten, so that the refusal gets through to the sender.
+      // The rest of the body is read and discarded, so that the refusal reaches the sender.
       request.resume();
       resolve(result);
     };
--- a/packages/common/src/rendezvousRank.ts
+++ b/packages/common/src/rendezvousRank.ts
@@ -1,8 +1,9 @@
 import digest from './digest.js';
 
 /**
- * Orders members for a subject by highest random weight: every process that knows the same members
- * gets the same order without asking anyone, and a lost member moves only its own subjects.
+ * Orders members for a subject by rendezvous hashing (highest random weight). Processes that know
+ * the same members compute the same order without coordination, and the loss of a member moves only
+ * the subjects it ranked first for.
  */
 const rendezvousRank = (subject: string, members: readonly string[]): string[] =>
   members
--- a/packages/common/src/restore.ts
+++ b/packages/common/src/restore.ts
@@ -2,14 +2,14 @@
 import { Err, Ok } from './outcome.js';
 import type { Result } from './outcome.js';
 
-/** One thing wrong with data from outside: where, what stood there, what is allowed. */
+/** One validation error in external data: its path, the value found and the values allowed. */
 export interface Problem {
   path: string;
   found: string;
   expected: string;
 }
 
-const LONGEST_FOUND_CHARACTERS = 80;
+const MAX_FOUND_CHARACTERS = 80;
 
 const valueAt = (raw: unknown, path: PropertyKey[]): unknown =>
   path.reduce<unknown>(
@@ -22,12 +22,12 @@
 
 const describe = (value: unknown): string => {
   if (value === undefined) return 'nothing';
-  return (JSON.stringify(value) ?? String(value)).slice(0, LONGEST_FOUND_CHARACTERS);
+  return (JSON.stringify(value) ?? String(value)).slice(0, MAX_FOUND_CHARACTERS);
 };
 
 /**
- * Checks data from outside against its schema, once, at the edge.
- * @returns the typed value, or every problem found
+ * Validates external data against its schema, once, where the data enters the process.
+ * @returns the typed value, or all problems found
  */
 export const restore = <T>(schema: ZodType<T>, raw: unknown): Result<T, Problem[]> => {
   const parsed = schema.safeParse(raw);
@@ -40,6 +40,6 @@
   return Err(problems);
 };
 
-/** All problems as one readable message. */
+/** Formats all problems as one message, one per line. */
 export const formatProblems = (problems: Problem[]): string =>
   problems.map(({ path, found, expected }) => `${path}: found ${found}; ${expected}`).join('\n');
--- a/packages/common/src/sendLastJson.ts
+++ b/packages/common/src/sendLastJson.ts
@@ -1,12 +1,13 @@
 import type { ServerResponse } from 'node:http';
 
-/** How long the sender of a refused body may go on until it is cut off, in ms. */
-const LINGER_MS = 2_000;
+/** How long the sender of a refused body may keep sending before its connection is closed. */
+const LINGER_TIMEOUT_MS = 2_000;
 
 /**
- * Answers with a JSON body a request whose own body is read no further, and closes its connection.
- * The close waits until the sender is done: with bytes unread it would reset the connection, and a
- * sender that is still writing would see EPIPE in place of the answer. The body has to be flowing.
+ * Sends a JSON answer to a request whose body is not read further, then closes the connection.
+ * Closing with unread bytes would reset the connection, and a sender that is still writing would
+ * get EPIPE instead of the answer, so the close waits until the sender has finished. The request's
+ * stream must be in flowing mode.
  */
 const sendLastJson = (
   response: ServerResponse,
@@ -28,7 +29,7 @@
     response.end();
     return;
   }
-  const timer = setTimeout(() => response.end(), LINGER_MS);
+  const timer = setTimeout(() => response.end(), LINGER_TIMEOUT_MS);
   request.once('close', () => {
     clearTimeout(timer);
     response.end();
--- a/packages/common/src/startProgram.ts
+++ b/packages/common/src/startProgram.ts
@@ -1,16 +1,16 @@
 import { parseArgs } from 'node:util';
 
-/** Exit statuses by convention: 0 well, 1 failed, 2 misused. */
+/** Exit statuses: 0 for success, 1 for a failure, 2 for incorrect usage. */
 export const EXIT_FAILED = 1;
 export const EXIT_MISUSED = 2;
 
-/** A running program, as the signals see it. */
+/** A started program that signals can stop. */
 export interface Running {
-  /** Stops taking work, lets what runs come to its end, and returns. */
+  /** Stops accepting work and resolves once the running work has finished. */
   drain: () => Promise<void>;
 }
 
-const usageOf = (program: string): string =>
+const formatUsage = (program: string): string =>
   [
     `Usage: ${program} --settings FILE`,
     '',
@@ -20,7 +20,7 @@
     '',
     `Example: ${program} --settings /etc/cyclamengate/${program}.yaml`,
     '',
-    'TERM or INT drains: work that runs is finished, none is taken. A second one stops at once.',
+    'TERM or INT drains: running work is finished, no new work is accepted. A second one stops at once.',
     '',
   ].join('\n');
 
@@ -30,14 +30,14 @@
       options: { settings: { type: 'string' }, help: { type: 'boolean' } },
     });
     if (values.help) {
-      process.stdout.write(usageOf(program));
+      process.stdout.write(formatUsage(program));
       process.exit(0);
     }
     if (values.settings) return values.settings;
   } catch (error) {
     process.stderr.write(`${program}: ${(error as Error).message}\n`);
   }
-  process.stderr.write(usageOf(program));
+  process.stderr.write(formatUsage(program));
   return process.exit(EXIT_MISUSED);
 };
 
@@ -55,7 +55,7 @@
   process.on('SIGINT', onSignal);
 };
 
-/** Runs a daemon: flags, start, signals, exit status. */
+/** Runs a daemon: parses its flags, starts it, handles signals and sets the exit status. */
 const startProgram = async (
   program: string,
   start: (settingsPath: string) => Promise<Running | string>,
--- a/packages/common/src/within.ts
+++ b/packages/common/src/within.ts
@@ -1,18 +1,18 @@
 import type Clock from './Clock.js';
 
 /**
- * What a promise settles with by a deadline on the clock's monotonic time; null where it does not.
- * The work itself goes on.
+ * Waits for a promise until a deadline on the clock's monotonic time. Returns null at the deadline;
+ * the work behind the promise is not cancelled.
  */
 const within = async <T>(
   clock: Clock,
   promise: Promise<T>,
   deadline: number,
 ): Promise<T | null> => {
-  const settled = new AbortController();
-  const timer = clock.sleepUntil(deadline, settled.signal).then(() => null);
-  const first = await Promise.race([promise, timer]);
-  settled.abort('settled');
+  const timerController = new AbortController();
+  const timeout = clock.sleepUntil(deadline, timerController.signal).then(() => null);
+  const first = await Promise.race([promise, timeout]);
+  timerController.abort('settled');
   return first;
 };
 
--- a/packages/common/src/writeEvent.ts
+++ b/packages/common/src/writeEvent.ts
@@ -1,18 +1,18 @@
 import { once } from 'node:events';
 import type { ServerResponse } from 'node:http';
 
-/** A reader that takes nothing for this long is taken for gone. */
-const SLOW_READER_MS = 30_000;
+/** A reader that accepts no data for this long is considered disconnected. */
+const DRAIN_TIMEOUT_MS = 30_000;
 
 /**
- * Writes one server-sent event and waits until there is room for the next. A reader whose
- * connection went silent would otherwise fill this host's memory, or hold its upstream for ever.
+ * Writes one server-sent event and waits until the send buffer has room for the next. Otherwise an
+ * unresponsive reader would fill this host's memory or occupy its upstream indefinitely.
  */
 const writeEvent = async (response: ServerResponse, data: string): Promise<void> => {
   if (response.destroyed) return;
   if (response.write(`data: ${data}\n\n`)) return;
   try {
-    await once(response, 'drain', { signal: AbortSignal.timeout(SLOW_READER_MS) });
+    await once(response, 'drain', { signal: AbortSignal.timeout(DRAIN_TIMEOUT_MS) });
   } catch {
     response.destroy();
   }
