--- a/packages/settings/src/applySettingsChange.ts
+++ b/packages/settings/src/applySettingsChange.ts
@@ -17,17 +17,17 @@
   );
 
 const findRefusal = (tree: SettingsTree, change: SettingsChange): string | null => {
-  const isFirst = Object.keys(tree).length === 0;
+  const isFirstChange = Object.keys(tree).length === 0;
   const forbidden = change.subtrees.find(
-    ({ path }) => !isFirst && !isAllowed(tree, change.operator, path),
+    ({ path }) => !isFirstChange && !isAllowed(tree, change.operator, path),
   );
   if (forbidden) return `operator ${change.operator} has no right to change ${forbidden.path}`;
   const stale = change.subtrees.find(
     ({ path, basedOn }) => (tree[path]?.revision ?? NO_REVISION) !== basedOn,
   );
   if (!stale) return null;
-  const standing = tree[stale.path]?.revision ?? NO_REVISION;
-  return `${stale.path} was changed by someone else: based on revision ${stale.basedOn}, now ${standing}`;
+  const currentRevision = tree[stale.path]?.revision ?? NO_REVISION;
+  return `${stale.path} was changed by someone else: based on revision ${stale.basedOn}, now ${currentRevision}`;
 };
 
 const restoreSubtrees = (
@@ -47,26 +47,26 @@
   return { problems, subtrees };
 };
 
-const treeAfter = (
+const mergeSubtrees = (
   tree: SettingsTree,
   changed: ReadonlyMap<string, SubtreeSettings | null>,
 ): Map<string, SubtreeSettings> => {
-  const after = new Map<string, SubtreeSettings>();
+  const merged = new Map<string, SubtreeSettings>();
   Object.entries(tree).forEach(([path, { subtree }]) => {
-    if (subtree && !changed.has(path)) after.set(path, subtree);
+    if (subtree && !changed.has(path)) merged.set(path, subtree);
   });
   changed.forEach((subtree, path) => {
-    if (subtree) after.set(path, subtree);
+    if (subtree) merged.set(path, subtree);
   });
-  return after;
+  return merged;
 };
 
 /**
- * Puts a published change into the tree, whole or not at all.
+ * Applies a published change to the tree atomically.
  *
- * Two operators may change the same subtree at once. Each change names the revision it is based on;
- * the log's order makes the first one stand and the second one stale, at every reader alike, so
- * neither is lost without a word and no host goes back to older settings.
+ * Two operators may change the same subtree concurrently. Each change names the revision it is
+ * based on, and the log's order decides: every reader accepts the first change and rejects the
+ * second as stale. So no change is overwritten silently and no host reverts to older settings.
  */
 const applySettingsChange = (
   tree: SettingsTree,
@@ -77,7 +77,7 @@
   if (refusal) return rejected(refusal);
   const { problems, subtrees } = restoreSubtrees(change);
   if (problems.length > 0) return rejected(problems.join('\n'));
-  const conflicts = findConflicts(treeAfter(tree, subtrees));
+  const conflicts = findConflicts(mergeSubtrees(tree, subtrees));
   if (conflicts.length > 0) return rejected(conflicts.join('\n'));
   subtrees.forEach((subtree, path) => {
     tree[path] = { revision: offset, subtree };
--- a/packages/settings/src/decision.ts
+++ b/packages/settings/src/decision.ts
@@ -1,9 +1,9 @@
 import { z } from 'zod';
 
-/** What the fold made of a record. The same at every reader. */
+/** Whether the fold accepted a record. Every reader arrives at the same decision. */
 export const decisionSchema = z.strictObject({
   accepted: z.boolean(),
-  /** Why it was refused, for the one who wrote it; empty when accepted. */
+  /** Why the record was rejected, for its writer; empty when accepted. */
   reason: z.string(),
 });
 
@@ -11,5 +11,5 @@
 
 export const ACCEPTED: Decision = { accepted: true, reason: '' };
 
-/** @param reason what the writer should know */
+/** @param reason explains the rejection to the writer of the record */
 export const rejected = (reason: string): Decision => ({ accepted: false, reason });
--- a/packages/settings/src/findConflicts.ts
+++ b/packages/settings/src/findConflicts.ts
@@ -1,34 +1,41 @@
 import isWithinPath from './isWithinPath.js';
 import type { SubtreeSettings } from './subtreeSettings.js';
 
-/** Subtrees by path, as they would stand after a change. */
+/** Subtrees by path, as they would be after a change. */
 export type SubtreesByPath = ReadonlyMap<string, SubtreeSettings>;
 
-const findRepeated = (
+const findDuplicates = (
   subtrees: SubtreesByPath,
-  what: string,
-  idsOf: (subtree: SubtreeSettings) => string[],
+  kind: string,
+  listIds: (subtree: SubtreeSettings) => string[],
 ): string[] => {
-  const seen = new Map<string, string>();
+  const firstPathById = new Map<string, string>();
   const conflicts: string[] = [];
   subtrees.forEach((subtree, path) =>
-    idsOf(subtree).forEach((id) => {
-      const first = seen.get(id);
-      if (first) conflicts.push(`${what} ${id} at ${path} stands already at ${first}`);
-      seen.set(id, path);
+    listIds(subtree).forEach((id) => {
+      const firstPath = firstPathById.get(id);
+      if (firstPath) conflicts.push(`${kind} ${id} at ${path} is already defined at ${firstPath}`);
+      firstPathById.set(id, path);
     }),
   );
   return conflicts;
 };
 
-/** A team may use what its own subtree or one above it offers, never a sibling's. */
+/**
+ * Whether a subtree at the path or above it matches. A team must not use what a sibling defines.
+ */
 const isVisible = (
   subtrees: SubtreesByPath,
   path: string,
-  has: (subtree: SubtreeSettings) => boolean,
-): boolean => [...subtrees].some(([place, subtree]) => isWithinPath(path, place) && has(subtree));
+  matches: (subtree: SubtreeSettings) => boolean,
+): boolean =>
+  [...subtrees].some(([otherPath, subtree]) => isWithinPath(path, otherPath) && matches(subtree));
 
-const findDangling = (subtrees: SubtreesByPath, path: string, own: SubtreeSettings): string[] => {
+const findInvalidReferences = (
+  subtrees: SubtreesByPath,
+  path: string,
+  own: SubtreeSettings,
+): string[] => {
   const hasCustomer = (id: string) => own.customers.some((customer) => customer.id === id);
   const hasService = (id: string, scoring: boolean) =>
     isVisible(subtrees, path, (subtree) =>
@@ -69,7 +76,7 @@
   return [...keys, ...trainers, ...operators];
 };
 
-const findPoolRanges = (path: string, own: SubtreeSettings): string[] =>
+const findInvalidPoolRanges = (path: string, own: SubtreeSettings): string[] =>
   own.services.flatMap((service) =>
     service.pools
       .filter((pool) => pool.minUpstreams > pool.maxUpstreams)
@@ -79,16 +86,16 @@
       ),
   );
 
-/** Everything that keeps these subtrees from standing together; empty when they can. */
+/** Lists all conflicts between the subtrees and within them; empty when there are none. */
 const findConflicts = (subtrees: SubtreesByPath): string[] => [
-  ...findRepeated(subtrees, 'customer', (subtree) => subtree.customers.map(({ id }) => id)),
-  ...findRepeated(subtrees, 'key', (subtree) => subtree.keys.map(({ id }) => id)),
-  ...findRepeated(subtrees, 'key digest', (subtree) => subtree.keys.map(({ digest }) => digest)),
-  ...findRepeated(subtrees, 'service', (subtree) => subtree.services.map(({ id }) => id)),
-  ...findRepeated(subtrees, 'trainer', (subtree) => subtree.trainers.map(({ id }) => id)),
-  ...findRepeated(subtrees, 'operator', (subtree) => subtree.operators.map(({ id }) => id)),
-  ...[...subtrees].flatMap(([path, own]) => findDangling(subtrees, path, own)),
-  ...[...subtrees].flatMap(([path, own]) => findPoolRanges(path, own)),
+  ...findDuplicates(subtrees, 'customer', (subtree) => subtree.customers.map(({ id }) => id)),
+  ...findDuplicates(subtrees, 'key', (subtree) => subtree.keys.map(({ id }) => id)),
+  ...findDuplicates(subtrees, 'key digest', (subtree) => subtree.keys.map(({ digest }) => digest)),
+  ...findDuplicates(subtrees, 'service', (subtree) => subtree.services.map(({ id }) => id)),
+  ...findDuplicates(subtrees, 'trainer', (subtree) => subtree.trainers.map(({ id }) => id)),
+  ...findDuplicates(subtrees, 'operator', (subtree) => subtree.operators.map(({ id }) => id)),
+  ...[...subtrees].flatMap(([path, own]) => findInvalidReferences(subtrees, path, own)),
+  ...[...subtrees].flatMap(([path, own]) => findInvalidPoolRanges(path, own)),
 ];
 
 export default findConflicts;
--- a/packages/settings/src/hostSettings.ts
+++ b/packages/settings/src/hostSettings.ts
@@ -3,7 +3,7 @@
 
 const portSchema = z.int().min(0).max(65_535);
 const addressSchema = z.strictObject({
-  /** An IP number; hosts do not look up names. */
+  /** An IP address; hosts do not resolve names. */
   host: z.union([z.ipv4(), z.ipv6()], 'allowed: an IPv4 or IPv6 address'),
   port: portSchema,
 });
@@ -11,23 +11,23 @@
   .string()
   .regex(/^http:\/\/[^/\s]+:\d+$/, 'allowed: http://ADDRESS:PORT without a path');
 
-/** Who goes next among waiting requests; `fifo` is there to be measured against. */
+/** Order in which queued requests are started; `fifo` is a baseline for measurements. */
 export const queuePolicySchema = z.enum(['fair', 'fifo']);
 export type QueuePolicyName = z.infer<typeof queuePolicySchema>;
 
-/** Which upstream gets a request; all but `affinity` are there to be measured against. */
+/** How an upstream is chosen for a request; all but `affinity` are baselines for measurements. */
 export const choicePolicySchema = z.enum(['affinity', 'least-in-flight', 'random']);
 export type ChoicePolicyName = z.infer<typeof choicePolicySchema>;
 
-/** What one process is told at its start, in its own YAML file. Everything else is published. */
+/** Settings that a process reads from its own YAML file at start. All others are published. */
 export const hostSettingsSchema = z.strictObject({
   id: nameSchema,
   failureDomain: nameSchema,
-  /** Where callers, trainers or scrapers reach it. */
+  /** Address for callers, trainers and metrics scrapers. */
   listen: addressSchema,
-  /** Where other processes of the system reach it. */
+  /** Address for other processes of the system. */
   peer: addressSchema,
-  /** Peers to ask first, as `http://ADDRESS:PORT`. */
+  /** Peers to contact at start, as `http://ADDRESS:PORT`. */
   seeds: z.array(urlSchema).default([]),
   platform: z.strictObject({
     log: urlSchema,
@@ -35,14 +35,14 @@
     reports: urlSchema,
     hosts: urlSchema,
   }),
-  /** For the rollout process: entries that run its generations. */
+  /** URLs of the entries that the rollout process sends its generations to. */
   entries: z.array(urlSchema).default([]),
   usageWindowSeconds: z.int().min(1).max(86_400).default(60),
   policy: z
     .strictObject({
       queue: queuePolicySchema.default('fair'),
       choice: choicePolicySchema.default('affinity'),
-      /** Part of the slots kept free for customers that run less than their share. */
+      /** Fraction of the slots reserved for customers that use less than their share. */
       reservedPart: z.number().min(0).max(0.5).default(0.25),
     })
     .prefault({}),
--- a/packages/settings/src/keySettings.ts
+++ b/packages/settings/src/keySettings.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import { digestSchema, nameSchema } from './names.js';
 
-/** A caller's key. Only its digest is ever published or kept. */
+/** A caller's key. Only its digest is published and stored. */
 export const keySettingsSchema = z.strictObject({
   id: nameSchema,
   customer: nameSchema,
--- a/packages/settings/src/names.ts
+++ b/packages/settings/src/names.ts
@@ -1,12 +1,12 @@
 import { z } from 'zod';
 
-const LONGEST_NAME_CHARACTERS = 64;
+const MAX_NAME_CHARACTERS = 64;
 
-/** Ids of customers, services, hosts and the like. */
+/** Id of a customer, service, host or similar. */
 export const nameSchema = z
   .string()
   .regex(/^[a-z0-9][a-z0-9-]*$/, 'allowed: lower-case letters, digits and dashes')
-  .max(LONGEST_NAME_CHARACTERS, `allowed: at most ${LONGEST_NAME_CHARACTERS} characters`);
+  .max(MAX_NAME_CHARACTERS, `allowed: at most ${MAX_NAME_CHARACTERS} characters`);
 
 /** The path of a subtree: `/` or `/team/part`. */
 export const pathSchema = z
--- a/packages/settings/src/newEffectiveSettings.ts
+++ b/packages/settings/src/newEffectiveSettings.ts
@@ -7,7 +7,7 @@
 const byId = <T extends { id: string }>(items: T[]): ReadonlyMap<string, T> =>
   new Map(items.map((item) => [item.id, item]));
 
-/** The settings tree as a host looks things up in it. Built anew when the tree changes. */
+/** Indexes the settings tree for lookups. Rebuilt whenever the tree changes. */
 const newEffectiveSettings = (tree: SettingsTree) => {
   const subtrees = Object.values(tree).flatMap(({ subtree }) => (subtree ? [subtree] : []));
   const keys: KeySettings[] = subtrees.flatMap((subtree) => subtree.keys);
@@ -15,7 +15,7 @@
     customers: byId<CustomerSettings>(subtrees.flatMap((subtree) => subtree.customers)),
     services: byId<ServiceSettings>(subtrees.flatMap((subtree) => subtree.services)),
     trainers: byId<TrainerSettings>(subtrees.flatMap((subtree) => subtree.trainers)),
-    /** Keys that are not withdrawn, by digest. */
+    /** Keys by digest, without withdrawn ones. */
     keysByDigest: new Map(
       keys.filter((key) => !key.withdrawn).map((key) => [key.digest, key] as const),
     ) as ReadonlyMap<string, KeySettings>,
--- a/packages/settings/src/publication.ts
+++ b/packages/settings/src/publication.ts
@@ -2,7 +2,7 @@
 import { pathSchema } from './names.js';
 import { subtreeSettingsSchema } from './subtreeSettings.js';
 
-/** A file that an operator publishes: subtrees by path, `null` to remove one. */
+/** A settings file published by an operator: subtrees by path, with `null` to remove a subtree. */
 export const publicationSchema = z.strictObject({
   subtrees: z.record(pathSchema, subtreeSettingsSchema.nullable()),
 });
--- a/packages/settings/src/readYamlFile.ts
+++ b/packages/settings/src/readYamlFile.ts
@@ -5,7 +5,7 @@
 import { parse } from 'yaml';
 import type { ZodType } from 'zod';
 
-/** Reads and checks a YAML file. The error is one message that names every problem. */
+/** Reads and validates a YAML file. The error is a single message that lists all problems. */
 const readYamlFile = async <T>(path: string, schema: ZodType<T>): Promise<Result<T, string>> => {
   let raw: unknown;
   try {
--- a/packages/settings/src/serviceSettings.ts
+++ b/packages/settings/src/serviceSettings.ts
@@ -4,7 +4,7 @@
 export const upstreamKindSchema = z.enum(['standard', 'cheap']);
 export type UpstreamKind = z.infer<typeof upstreamKindSchema>;
 
-/** Upstreams of one service that are ordered together: one failure domain, one kind, one price. */
+/** Upstreams of one service with the same failure domain, kind and price, ordered as a group. */
 export const poolSettingsSchema = z.strictObject({
   failureDomain: nameSchema,
   kind: upstreamKindSchema.default('standard'),
@@ -19,11 +19,11 @@
 export const serviceSettingsSchema = z.strictObject({
   id: nameSchema,
   type: z.enum(['model', 'plain', 'scoring']),
-  /** Whether a call may be sent again when its outcome is unknown. Models' calls always may. */
+  /** Whether a call may be retried when its outcome is unknown. Calls to models always may. */
   idempotent: z.boolean().default(true),
-  /** Requests that one upstream runs at once. */
+  /** Number of requests that one upstream runs concurrently. */
   slotsPerUpstream: z.int().min(1).max(10_000).default(8),
-  /** Whether the upstreams refuse an order with an old fencing number. */
+  /** Whether the upstreams refuse orders with a stale fencing token. */
   checksFencing: z.boolean().default(false),
   pools: z.array(poolSettingsSchema).default([]),
 });
--- a/packages/settings/src/settingsChange.ts
+++ b/packages/settings/src/settingsChange.ts
@@ -2,8 +2,8 @@
 import { nameSchema, pathSchema } from './names.js';
 
 /**
- * An operator's change of one or more subtrees, taken whole or not at all. The subtrees' contents
- * are checked by the fold, so that every reader refuses an invalid one with the same reason.
+ * An operator's change of one or more subtrees, applied atomically. The fold validates the contents
+ * of the subtrees, so that every reader rejects an invalid change with the same reason.
  */
 export const settingsChangeSchema = z.strictObject({
   operator: nameSchema,
--- a/packages/settings/src/settingsTree.ts
+++ b/packages/settings/src/settingsTree.ts
@@ -3,8 +3,8 @@
 import { subtreeSettingsSchema } from './subtreeSettings.js';
 
 /**
- * All accepted settings. `revision` is the log offset of the change that put a subtree there; a
- * removed subtree keeps its revision, so that a late change based on an older one is still refused.
+ * All accepted settings. `revision` is the log offset of the last change of a subtree. A removed
+ * subtree keeps its revision, so that a late change based on an older revision is still rejected.
  */
 export const settingsTreeSchema = z.record(
   pathSchema,
@@ -13,5 +13,5 @@
 
 export type SettingsTree = z.infer<typeof settingsTreeSchema>;
 
-/** The revision that a change of a path nobody has written yet is based on. */
+/** The base revision of a change to a path that has never been written. */
 export const NO_REVISION = -1;
--- a/packages/settings/src/subtreeSettings.ts
+++ b/packages/settings/src/subtreeSettings.ts
@@ -5,7 +5,7 @@
 import { serviceSettingsSchema } from './serviceSettings.js';
 import { trainerSettingsSchema } from './trainerSettings.js';
 
-/** What stands at one path of the settings tree. */
+/** The settings at one path of the settings tree. */
 export const subtreeSettingsSchema = z.strictObject({
   operators: z.array(operatorSettingsSchema).default([]),
   customers: z.array(customerSettingsSchema).default([]),
--- a/packages/settings/src/trainerSettings.ts
+++ b/packages/settings/src/trainerSettings.ts
@@ -7,9 +7,9 @@
   /** The model service whose weights this trainer publishes. */
   service: nameSchema,
   scoringService: nameSchema.optional(),
-  /** A sample may be this many published versions behind the newest. */
+  /** How many published versions a sample may lag behind the newest one. */
   stalenessBoundVersions: z.int().min(0).max(1000).default(2),
-  /** Extra copies of stragglers that one step may start. */
+  /** Maximum number of extra copies that one step may start for stragglers. */
   maxLateCopies: z.int().min(0).max(10_000).default(8),
 });
 
--- a/packages/settings/tests/applySettingsChange.test.ts
+++ b/packages/settings/tests/applySettingsChange.test.ts
@@ -28,9 +28,9 @@
   subtrees: [{ path, basedOn, subtree }],
 });
 
-// Two operators publish the same subtree at the same time, each from what was there before. The
-// naive way lets the second silently take back what the first was told is accepted.
-test('of two racing changes one stands and the other is told so', (t) => {
+// Two operators concurrently publish changes of the same subtree, based on the same revision. With
+// last-writer-wins, the second change would silently overwrite the accepted first one.
+test('of two racing changes one is accepted and the other rejected with the reason', (t) => {
   const tree = newTree();
   const customers = (share: number) => ({ customers: [{ id: 'players', share }] });
   const first = applySettingsChange(tree, 1, change('eleni', '/workshop', -1, customers(2)));
@@ -49,7 +49,7 @@
   t.false(applySettingsChange(tree, 2, change('stranger', '/workshop', -1, {})).accepted);
 });
 
-test('an operator cannot grant more than its own subtree holds', (t) => {
+test('an operator cannot grant access outside its own subtree', (t) => {
   const grant = { operators: [{ id: 'nikos', paths: ['/'] }] };
   const decision = applySettingsChange(newTree(), 1, change('eleni', '/workshop', -1, grant));
   t.false(decision.accepted);
@@ -59,7 +59,7 @@
   );
 });
 
-test('one bad subtree keeps the whole change out, and every problem is named', (t) => {
+test('one invalid subtree rejects the whole change, and every problem is listed', (t) => {
   const tree = newTree();
   const before = structuredClone(tree);
   const decision = applySettingsChange(tree, 1, {
@@ -80,7 +80,7 @@
   t.deepEqual(tree, before);
 });
 
-test('a customer, key or service of one team cannot be taken or used by another', (t) => {
+test('a customer, key or service of one team cannot be redefined or used by another', (t) => {
   const tree = newTree();
   const workshop = { customers: [{ id: 'players' }], keys: [key('p', 'players', 'a')] };
   t.true(applySettingsChange(tree, 1, change('admin', '/workshop', -1, workshop)).accepted);
@@ -95,8 +95,8 @@
   );
 });
 
-// A subtree is removed while a change based on its old content is still on its way.
-test('a removed subtree is not brought back by a late change', (t) => {
+// A change based on a subtree's old content arrives after the subtree was removed.
+test('a late change does not restore a removed subtree', (t) => {
   const tree = newTree();
   const workshop = { customers: [{ id: 'players' }] };
   applySettingsChange(tree, 1, change('admin', '/workshop', -1, workshop));
