--- a/packages/usage/src/newMeter.ts
+++ b/packages/usage/src/newMeter.ts
@@ -5,52 +5,53 @@
 import type { UsageDelta, WindowFigures } from '@cyclamengate/coordination/usageRecords';
 import type { UsageFigure } from '@cyclamengate/platform/usageReport';
 
-/** How long usage may stand in this host's memory alone: the bound on what a dead host loses. */
-export const SEAL_EVERY_MS = 500;
-/** How often sealed deltas go to the log, in one append. */
-const WRITE_EVERY_MS = 2_000;
+/** Interval of sealing usage and copying it to peers; bounds the usage lost when a host fails. */
+export const SEAL_INTERVAL_MS = 500;
+/** Interval of writing sealed deltas to the log, in one append. */
+const WRITE_INTERVAL_MS = 2_000;
 const WRITE_TIMEOUT_MS = 10_000;
 
 export interface MeterOptions {
   clock: Clock;
   follower: Follower;
   writer: LogWriter;
-  /** This run of the process; a restarted one counts under another name. */
+  /** Incarnation of this process; a restarted process counts under another name. */
   host: string;
   windowMs: number;
-  /** Gives the deltas that are not in the log yet to peers that would outlive this host. */
+  /** Copies the deltas that are not in the log yet to peers, in case this host fails. */
   copy: (deltas: UsageDelta[]) => Promise<void>;
 }
 
-/** Counts what customers used on this host, until the log has it. */
+/** Counts the usage of customers on this host until it has been written to the log. */
 const newMeter = (options: MeterOptions) => {
   const { clock, follower, writer, host, windowMs, copy } = options;
-  let open: WindowFigures = {};
+  let openWindows: WindowFigures = {};
   let sequence = 0;
   let isWriting = false;
   const sealed = new Map<number, UsageDelta>();
 
   follower.onFolded(({ record }) => {
     if (record.type !== 'usage-delta' || record.host !== host) return;
-    // A repetition is refused by its sequence number, which proves that the first one was counted.
-    sealed.forEach((_, counted) => {
-      if (counted <= record.sequence) sealed.delete(counted);
+    // A duplicate is rejected by its sequence number, which proves that the delta was counted
+    // before.
+    sealed.forEach((_, sealedSequence) => {
+      if (sealedSequence <= record.sequence) sealed.delete(sealedSequence);
     });
   });
 
   const add = (customer: string, figure: UsageFigure): void => {
     const window = Math.floor(clock.wallTime() / windowMs) * windowMs;
-    const figures = open[window] ?? {};
+    const figures = openWindows[window] ?? {};
     addUsage(figures, { [customer]: figure });
-    open[window] = figures;
+    openWindows[window] = figures;
   };
 
-  /** Closes the running delta: from here on its figures never change. */
+  /** Closes the current delta, whose figures are immutable from then on. */
   const seal = (): void => {
-    if (Object.keys(open).length === 0) return;
-    sealed.set(sequence, { type: 'usage-delta', host, sequence, windows: open });
+    if (Object.keys(openWindows).length === 0) return;
+    sealed.set(sequence, { type: 'usage-delta', host, sequence, windows: openWindows });
     sequence += 1;
-    open = {};
+    openWindows = {};
   };
 
   const writeSealed = async (deadline: number): Promise<void> => {
@@ -68,20 +69,20 @@
   };
 
   const run = async (signal: AbortSignal): Promise<void> => {
-    let writeAt = clock.now() + WRITE_EVERY_MS;
+    let writeAt = clock.now() + WRITE_INTERVAL_MS;
     while (!signal.aborted) {
-      const nextSeal = clock.now() + SEAL_EVERY_MS;
+      const nextSealAt = clock.now() + SEAL_INTERVAL_MS;
       seal();
       await copy([...sealed.values()]);
       if (clock.now() >= writeAt) {
-        writeAt = clock.now() + WRITE_EVERY_MS;
+        writeAt = clock.now() + WRITE_INTERVAL_MS;
         writeUnlessWriting();
       }
-      await clock.sleepUntil(nextSeal, signal);
+      await clock.sleepUntil(nextSealAt, signal);
     }
   };
 
-  /** Writes everything that is left, for a graceful shutdown. */
+  /** Writes all remaining deltas, for a graceful shutdown. */
   const flush = async (): Promise<void> => {
     seal();
     await writeSealed(clock.now() + WRITE_TIMEOUT_MS);
--- a/packages/usage/src/newUsageKeeper.ts
+++ b/packages/usage/src/newUsageKeeper.ts
@@ -3,53 +3,54 @@
 import type { LogWriter } from '@cyclamengate/coordination/newLogWriter';
 import type { UsageDelta } from '@cyclamengate/coordination/usageRecords';
 
-const CHECK_EVERY_MS = 1_000;
+const CHECK_INTERVAL_MS = 1_000;
 const WRITE_TIMEOUT_MS = 10_000;
 
 export interface UsageKeeperOptions {
   clock: Clock;
   follower: Follower;
   writer: LogWriter;
-  /** Whether that run of a process is still alive, as far as this host knows. */
+  /** Whether an incarnation of a process is still live in this host's view. */
   isLive: (host: string) => boolean;
 }
 
 /**
- * Keeps other hosts' usage that is not in the log yet, and writes it for those that died. Should
- * the host be alive after all, both write the same deltas and the fold counts each once.
+ * Stores copies of other hosts' usage that is not in the log yet, and writes them on behalf of
+ * hosts that failed. If such a host is still running, both write the same deltas and the fold
+ * counts each delta once.
  */
 const newUsageKeeper = ({ clock, follower, writer, isLive }: UsageKeeperOptions) => {
-  const kept = new Map<string, UsageDelta[]>();
+  const deltasByHost = new Map<string, UsageDelta[]>();
 
-  const forget = (host: string, through: number): void => {
-    const left = (kept.get(host) ?? []).filter(({ sequence }) => sequence > through);
-    if (left.length === 0) kept.delete(host);
-    else kept.set(host, left);
+  const discardThrough = (host: string, through: number): void => {
+    const remaining = (deltasByHost.get(host) ?? []).filter(({ sequence }) => sequence > through);
+    if (remaining.length === 0) deltasByHost.delete(host);
+    else deltasByHost.set(host, remaining);
   };
 
   follower.onFolded(({ record }) => {
-    if (record.type === 'usage-delta') forget(record.host, record.sequence);
+    if (record.type === 'usage-delta') discardThrough(record.host, record.sequence);
   });
 
   const keep = (host: string, deltas: UsageDelta[]): void => {
-    kept.set(host, deltas);
-    forget(host, follower.state().usage.hosts[host]?.sequence ?? -1);
+    deltasByHost.set(host, deltas);
+    discardThrough(host, follower.state().usage.hosts[host]?.sequence ?? -1);
   };
 
-  const writeFor = async (host: string): Promise<void> => {
+  const writeDeltas = async (host: string): Promise<void> => {
     const deadline = clock.now() + WRITE_TIMEOUT_MS;
-    await Promise.all((kept.get(host) ?? []).map((delta) => writer.write(delta, deadline)));
+    await Promise.all((deltasByHost.get(host) ?? []).map((delta) => writer.write(delta, deadline)));
   };
 
   const run = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
-      const dead = [...kept.keys()].filter((host) => !isLive(host));
-      await Promise.all(dead.map(writeFor));
-      await clock.sleepUntil(clock.now() + CHECK_EVERY_MS, signal);
+      const deadHosts = [...deltasByHost.keys()].filter((host) => !isLive(host));
+      await Promise.all(deadHosts.map(writeDeltas));
+      await clock.sleepUntil(clock.now() + CHECK_INTERVAL_MS, signal);
     }
   };
 
-  return { keep, run, kept: (): number => kept.size };
+  return { keep, run, kept: (): number => deltasByHost.size };
 };
 
 export type UsageKeeper = ReturnType<typeof newUsageKeeper>;
--- a/packages/usage/tests/usage.test.ts
+++ b/packages/usage/tests/usage.test.ts
@@ -20,7 +20,7 @@
 const WINDOW_MS = 10_000;
 const SILENT_LEVEL = 6;
 
-/** The platform's report interface; some answers get lost after the report was taken. */
+/** The platform's report interface. Some answers are lost after the report was accepted. */
 class FakeReports extends UsageReports {
   readonly taken: UsageReport[] = [];
 
@@ -77,9 +77,9 @@
   reports: new FakeReports(),
 });
 
-const used = (outputTokens: number) => ({ requests: 1, promptTokens: 0, outputTokens });
+const newFigure = (outputTokens: number) => ({ requests: 1, promptTokens: 0, outputTokens });
 
-const billedOf = (reports: FakeReports): number => {
+const sumBilledTokens = (reports: FakeReports): number => {
   const byWindow = new Map(reports.taken.map((report) => [report.window, report]));
   return [...byWindow.values()].reduce(
     (sum, { figures }) => sum + (figures.players?.outputTokens ?? 0),
@@ -87,47 +87,48 @@
   );
 };
 
-const isAlwaysTheSame = (reports: FakeReports): boolean =>
+const areRepeatsIdentical = (reports: FakeReports): boolean =>
   reports.taken.every((report) =>
     reports.taken
       .filter(({ window }) => window === report.window)
       .every(({ figures }) => JSON.stringify(figures) === JSON.stringify(report.figures)),
   );
 
-// The platform takes a report and its answer is lost, while usage of that window still trickles in.
-// The naive way sends the window again with other figures, and the customer's bill is wrong.
-test('a report whose answer is lost is sent again with the very same figures', async (t) => {
+// The answer to a report is lost while usage of its window still arrives. Repeating the report with
+// the current figures would bill the customer incorrectly.
+test('a report whose answer is lost is repeated with identical figures', async (t) => {
   const { log, clock, reports } = newBench();
   reports.answersToLose = 3;
   newReporter(log, clock, reports, 'first');
   const { meter } = newEntry(log, clock, 'entry');
   for (let second = 0; second < 40; second += 1) {
-    meter.add('players', used(5));
+    meter.add('players', newFigure(5));
     await clock.advance(1_000);
   }
   await clock.advance(30_000);
   t.true(reports.taken.length > 4);
-  t.true(isAlwaysTheSame(reports));
-  t.is(billedOf(reports), 200);
+  t.true(areRepeatsIdentical(reports));
+  t.is(sumBilledTokens(reports), 200);
 });
 
-// The reporter's process stops answering in the middle of its work and another one takes over.
-test('a successor reports what its frozen predecessor would have, and nothing twice differently', async (t) => {
+// The reporting process fails while it reports, and another process takes over its lease.
+test('a successor reports the figures that its failed predecessor would have reported', async (t) => {
   const { log, clock, reports } = newBench();
   const first = newReporter(log, clock, reports, 'first');
   newReporter(log, clock, reports, 'second');
   const { meter } = newEntry(log, clock, 'entry');
   for (let second = 0; second < 60; second += 1) {
-    meter.add('players', used(3));
+    meter.add('players', newFigure(3));
     if (second === 17) first.kill();
     await clock.advance(1_000);
   }
   await clock.advance(40_000);
-  t.true(isAlwaysTheSame(reports));
-  t.is(billedOf(reports), 180);
+  t.true(areRepeatsIdentical(reports));
+  t.is(sumBilledTokens(reports), 180);
 });
 
-// An entry is killed between counting and writing. Without a copy elsewhere its usage is never billed.
+// An entry is killed after counting usage and before writing it to the log. Without a copy on a
+// peer, that usage would never be billed.
 test('a killed host loses no usage that it has copied to a peer', async (t) => {
   const { log, clock, reports } = newBench();
   newReporter(log, clock, reports, 'first');
@@ -142,7 +143,7 @@
   keeper.run(peer.signal).catch(() => undefined);
   const entry = newEntry(log, clock, 'entry', async (deltas) => keeper.keep('entry', deltas));
   await clock.advance(2_100);
-  entry.meter.add('players', used(77));
+  entry.meter.add('players', newFigure(77));
   await clock.advance(600);
   entry.kill();
   await clock.advance(100);
@@ -150,11 +151,12 @@
   t.is(before, -1);
   live.delete('entry');
   await clock.advance(40_000);
-  t.is(billedOf(reports), 77);
+  t.is(sumBilledTokens(reports), 77);
 });
 
-// The peers take a slow host for dead and write its usage for it, while it goes on writing itself.
-test('usage written by the host and by its keeper counts once', async (t) => {
+// A peer considers a slow host failed and writes its usage on its behalf, while the host still
+// writes the same usage itself.
+test('usage written by a host and on its behalf by a peer is counted once', async (t) => {
   const { log, clock, reports } = newBench();
   newReporter(log, clock, reports, 'first');
   const peer = newLogHost(log, clock, 'peer');
@@ -163,62 +165,64 @@
   keeper.run(peer.signal).catch(() => undefined);
   const entry = newEntry(log, clock, 'entry', async (deltas) => keeper.keep('entry', deltas));
   for (let second = 0; second < 20; second += 1) {
-    entry.meter.add('players', used(2));
+    entry.meter.add('players', newFigure(2));
     await clock.advance(1_000);
   }
   await clock.advance(30_000);
-  t.is(billedOf(reports), 40);
+  t.is(sumBilledTokens(reports), 40);
 });
 
-// The log is out over the end of a window. Reports may be late for it, but not wrong.
-test('an outage of the log makes reports late, never wrong', async (t) => {
+// The log is unavailable at the end of a window. This may delay reports, but not change their
+// figures.
+test('an outage of the log delays reports but does not falsify them', async (t) => {
   const { log, clock, reports } = newBench();
   newReporter(log, clock, reports, 'first');
   newReporter(log, clock, reports, 'second');
   const { meter } = newEntry(log, clock, 'entry');
   for (let second = 0; second < 60; second += 1) {
     log.isDown = second >= 8 && second < 45;
-    meter.add('players', used(1));
+    meter.add('players', newFigure(1));
     await clock.advance(1_000);
   }
   await clock.advance(60_000);
-  t.true(isAlwaysTheSame(reports));
-  t.is(billedOf(reports), 60);
+  t.true(areRepeatsIdentical(reports));
+  t.is(sumBilledTokens(reports), 60);
 });
 
-// A host was cut off while its window was closed and reported; its usage comes in afterwards.
-test('usage that comes after its window was closed is billed with the next window', async (t) => {
+// A host is partitioned from the log while a window is closed and reported; its usage of that
+// window arrives afterwards.
+test('usage that arrives after its window was closed is billed with the next window', async (t) => {
   const { log, clock, reports } = newBench();
   newReporter(log, clock, reports, 'first');
-  const near = newEntry(log, clock, 'near');
-  const cut = newEntry(log, clock, 'cut');
-  const full = log.fate;
+  const connected = newEntry(log, clock, 'near');
+  const isolated = newEntry(log, clock, 'cut');
+  const originalFate = log.fate;
   log.fate = (bodies) =>
     bodies.some((body) => body.includes('"writer":"cut"')) ? 'refused' : 'lands';
-  cut.meter.add('players', used(40));
-  near.meter.add('players', used(2));
+  isolated.meter.add('players', newFigure(40));
+  connected.meter.add('players', newFigure(2));
   await clock.advance(25_000);
-  t.is(billedOf(reports), 2);
-  log.fate = full;
-  near.meter.add('players', used(1));
+  t.is(sumBilledTokens(reports), 2);
+  log.fate = originalFate;
+  connected.meter.add('players', newFigure(1));
   await clock.advance(40_000);
-  t.true(isAlwaysTheSame(reports));
-  t.is(billedOf(reports), 43);
+  t.true(areRepeatsIdentical(reports));
+  t.is(sumBilledTokens(reports), 43);
 });
 
-// As above, but nobody calls any more: no further window would ever be closed to carry it.
+// As above, but without further calls: no other window would be closed to bill the late usage.
 test('late usage is billed also when no other usage follows', async (t) => {
   const { log, clock, reports } = newBench();
   newReporter(log, clock, reports, 'first');
-  const near = newEntry(log, clock, 'near');
-  const cut = newEntry(log, clock, 'cut');
+  const connected = newEntry(log, clock, 'near');
+  const isolated = newEntry(log, clock, 'cut');
   log.fate = (bodies) =>
     bodies.some((body) => body.includes('"writer":"cut"')) ? 'refused' : 'lands';
-  cut.meter.add('players', used(40));
-  near.meter.add('players', used(2));
+  isolated.meter.add('players', newFigure(40));
+  connected.meter.add('players', newFigure(2));
   await clock.advance(25_000);
   log.fate = () => 'lands';
   await clock.advance(40_000);
-  t.true(isAlwaysTheSame(reports));
-  t.is(billedOf(reports), 42);
+  t.true(areRepeatsIdentical(reports));
+  t.is(sumBilledTokens(reports), 42);
 });
--- a/scripts/naive.js
+++ b/scripts/naive.js
@@ -67,7 +67,7 @@
     'if (delta.sequence <= counted)',
     'if (false)',
     'packages/usage',
-    '*by its keeper counts once*',
+    '*on its behalf by a peer is counted once*',
   ],
   [
     'usage stands in one memory alone',
@@ -80,7 +80,7 @@
   [
     'late usage waits for other usage',
     'packages/usage/dist/src/reportUsage.js',
-    'Object.keys(late).length > 0 ? lastEnded() : undefined',
+    'Object.keys(late).length > 0 ? lastClosableWindow() : undefined',
     'undefined',
     'packages/usage',
     '*no other usage follows*',
