--- a/packages/upstreams/src/ModelEngine.ts
+++ b/packages/upstreams/src/ModelEngine.ts
@@ -4,10 +4,10 @@
 import type { UpstreamFault } from './upstreamFault.js';
 import type { WeightOrder } from './weightOrder.js';
 
-/** How the system talks to one kind of model engine. */
+/** Client interface of model engines. */
 export default abstract class ModelEngine {
   /**
-   * Runs a generation and hands over its tokens one by one, in order, without a hole.
+   * Runs a generation and passes on its tokens one by one, in order and without gaps.
    * @param onToken awaited before the next token is read
    */
   abstract generate(
@@ -20,8 +20,9 @@
   abstract readStatus(url: string): Promise<Result<EngineStatus, UpstreamFault>>;
 
   /**
-   * Orders a version of a trainer's weights; the answer is the status after taking the order.
-   * @param isStillHeld asked again in the moment of writing; without its yes nothing is ordered
+   * Orders a version of a trainer's weights.
+   * @param isStillHeld checked again when the order is written; if false, nothing is ordered
+   * @returns the engine's status after it accepted the order
    */
   abstract orderWeights(
     url: string,
--- a/packages/upstreams/src/PlainService.ts
+++ b/packages/upstreams/src/PlainService.ts
@@ -2,16 +2,16 @@
 import type { ServiceAnswer, ServiceCall } from './serviceCall.js';
 import type { UpstreamFault } from './upstreamFault.js';
 
-/** How the system talks to plain services. */
+/** Client interface of plain services. */
 export default abstract class PlainService {
   /**
-   * @param needsProof send only on a connection that was just proven, since the call may not be
-   *   repeated and must not be lost in a connection that is open on this side alone
+   * @param needsFreshConnection whether to open a new connection for the call, because the call
+   *   must not be retried and could be lost on a connection that is open on this side only
    */
   abstract call(
     url: string,
     call: ServiceCall,
-    needsProof: boolean,
+    needsFreshConnection: boolean,
     signal: AbortSignal,
   ): Promise<Result<ServiceAnswer, UpstreamFault>>;
 }
--- a/packages/upstreams/src/choosePoolSizes.ts
+++ b/packages/upstreams/src/choosePoolSizes.ts
@@ -1,48 +1,53 @@
 import type { PoolSettings, ServiceSettings } from '@cyclamengate/settings/serviceSettings';
 
-/** Part of the slots that may be wanted before more upstreams are. */
-const WANTED_UTILISATION = 0.8;
+/** Fraction of the slots that demand may use before more upstreams are ordered. */
+const TARGET_UTILISATION = 0.8;
 
-export interface WantedRequest {
+export interface PoolSizesRequest {
   service: ServiceSettings;
-  /** Requests running and waiting, over all hosts. */
+  /** Running and queued requests over all hosts. */
   demand: number;
   failureDomain: string;
-  /** Pools that can't be had at the moment, e.g. reclaimed a short while ago. */
+  /** Whether a pool is unavailable at the moment, e.g. because it was recently reclaimed. */
   isAvoided: (pool: PoolSettings) => boolean;
 }
 
-/** Cheaper first; what is avoided counts as not there. */
-const usableByPrice = ({ service, failureDomain, isAvoided }: WantedRequest): PoolSettings[] =>
+/** Available pools of the failure domain, cheapest first. */
+const usablePoolsByPrice = ({
+  service,
+  failureDomain,
+  isAvoided,
+}: PoolSizesRequest): PoolSettings[] =>
   service.pools
     .filter((pool) => pool.failureDomain === failureDomain && !isAvoided(pool))
     .sort((left, right) => left.pricePerHour - right.pricePerHour);
 
 /**
- * How many upstreams of each kind one failure domain should run for a service: every pool's
- * minimum, then more of the cheapest until the domain's part of the demand fits.
- * @returns wanted numbers by pool, for all pools of the domain
+ * Chooses how many upstreams of each kind one failure domain should run for a service: the minimum
+ * of every pool, then more of the cheapest pools until they can serve the domain's share of the
+ * demand.
+ * @returns the wanted number of upstreams by pool, for all pools of the domain
  */
-const chooseWanted = (request: WantedRequest): Map<PoolSettings, number> => {
+const choosePoolSizes = (request: PoolSizesRequest): Map<PoolSettings, number> => {
   const { service, demand, failureDomain } = request;
   const domains = new Set(service.pools.map((pool) => pool.failureDomain)).size;
   const needed = Math.ceil(
-    demand / Math.max(1, domains) / (service.slotsPerUpstream * WANTED_UTILISATION),
+    demand / Math.max(1, domains) / (service.slotsPerUpstream * TARGET_UTILISATION),
   );
-  const wanted = new Map<PoolSettings, number>(
+  const sizes = new Map<PoolSettings, number>(
     service.pools
       .filter((pool) => pool.failureDomain === failureDomain)
       .map((pool) => [pool, 0] as const),
   );
-  const usable = usableByPrice(request);
-  usable.forEach((pool) => wanted.set(pool, pool.minUpstreams));
+  const usable = usablePoolsByPrice(request);
+  usable.forEach((pool) => sizes.set(pool, pool.minUpstreams));
   let missing = needed - usable.reduce((sum, pool) => sum + pool.minUpstreams, 0);
   usable.forEach((pool) => {
-    const more = Math.max(0, Math.min(missing, pool.maxUpstreams - pool.minUpstreams));
-    wanted.set(pool, pool.minUpstreams + more);
-    missing -= more;
+    const extra = Math.max(0, Math.min(missing, pool.maxUpstreams - pool.minUpstreams));
+    sizes.set(pool, pool.minUpstreams + extra);
+    missing -= extra;
   });
-  return wanted;
+  return sizes;
 };
 
-export default chooseWanted;
+export default choosePoolSizes;
--- a/packages/upstreams/src/engineStatus.ts
+++ b/packages/upstreams/src/engineStatus.ts
@@ -1,14 +1,14 @@
 import { z } from 'zod';
 
-/** What an upstream says of itself. */
+/** Status reported by an upstream. */
 export const engineStatusSchema = z.object({
   id: z.string(),
   active: z.int(),
   slots: z.int(),
   isLeaving: z.boolean(),
-  /** Weights in force by trainer; a trainer whose swap failed half way is missing. */
+  /** Active weight version by trainer; a trainer whose weight swap failed midway is absent. */
   versions: z.record(z.string(), z.int()),
-  /** Weights being loaded, by trainer. */
+  /** Weight version being loaded, by trainer. */
   loading: z.record(z.string(), z.int()),
 });
 
--- a/packages/upstreams/src/generation.ts
+++ b/packages/upstreams/src/generation.ts
@@ -3,13 +3,13 @@
 export const prioritySchema = z.enum(['interactive', 'background', 'training']);
 export type Priority = z.infer<typeof prioritySchema>;
 
-/** What a model engine is asked for. It never holds a caller's key. */
+/** A generation request to a model engine. It never contains a caller's key. */
 export const generationSchema = z.object({
   requestId: z.string(),
   customer: z.string(),
   service: z.string(),
   prompt: z.string(),
-  /** Tokens that another engine has generated already; the engine goes on after them. */
+  /** Tokens that another engine has already generated; this engine continues after them. */
   prefix: z.array(z.string()),
   maxTokens: z.int(),
   priority: prioritySchema,
@@ -17,7 +17,7 @@
 
 export type Generation = z.infer<typeof generationSchema>;
 
-/** One token and the weights that produced it. */
+/** One token and the version of the weights that produced it. */
 export const tokenEventSchema = z.object({
   requestId: z.string(),
   index: z.int(),
@@ -27,7 +27,7 @@
 
 export type TokenEvent = z.infer<typeof tokenEventSchema>;
 
-/** The end of a whole answer. `tokens` counts all of them, the prefix included. */
+/** The end of a complete answer. `tokens` counts all tokens, including the prefix. */
 export const endEventSchema = z.object({
   requestId: z.string(),
   tokens: z.int(),
--- a/packages/upstreams/src/newHttpModelEngine.ts
+++ b/packages/upstreams/src/newHttpModelEngine.ts
@@ -16,9 +16,9 @@
 import type { WeightOrder } from './weightOrder.js';
 
 const CONNECT_TIMEOUT_MS = 500;
-/** Longest silence before the first byte of an answer and between two chunks of it. */
+/** Maximum time until the first byte of an answer, and between two chunks of it. */
 const IDLE_TIMEOUT_MS = 5_000;
-/** A weight order's answer must be in by then. */
+/** Timeout for the answer to a weight order. */
 export const WEIGHT_ORDER_TIMEOUT_MS = 1_500;
 const STATUS_TIMEOUT_MS = 1_500;
 
@@ -28,61 +28,62 @@
   'ENETUNREACH',
   'EHOSTUNREACH',
 ]);
-const SILENT_CODES = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT']);
+const TIMEOUT_CODES = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT']);
 
-/** Tells from an error of the HTTP library what can have run. */
-export const upstreamFaultOf = (error: unknown, signal: AbortSignal): UpstreamFault => {
+/** Maps an error of the HTTP library to a fault, which tells whether the request may have run. */
+export const toUpstreamFault = (error: unknown, signal: AbortSignal): UpstreamFault => {
   if (signal.aborted) return 'cancelled';
   const { code = '' } = error as { code?: string };
   if (NOT_SENT_CODES.has(code)) return 'not-sent';
-  return SILENT_CODES.has(code) ? 'silent' : 'broken';
+  return TIMEOUT_CODES.has(code) ? 'silent' : 'broken';
 };
 
-const faultOfCall = (fault: PlatformFault): UpstreamFault =>
+const fromPlatformFault = (fault: PlatformFault): UpstreamFault =>
   fault === 'unknown' ? 'broken' : fault;
 
 /**
- * Binds events to their request by id and to their place by index: an answer that belongs to
- * another request, arrives late or leaves something out is never passed on.
+ * Validates that each event belongs to the request, by its id, and is the next one, by its index.
+ * An event of another request, a late event or one after a gap is rejected.
  */
-const newEventCheck = (generation: Generation) => {
-  let expected = generation.prefix.length;
+const newEventValidator = (generation: Generation) => {
+  let nextIndex = generation.prefix.length;
   return (data: string): TokenEvent | EndEvent | null => {
     const raw = parseJson(data);
     const event = raw.ok ? restore(generationEventSchema, raw.val) : null;
     if (!event?.ok || event.val.requestId !== generation.requestId) return null;
-    if ('finishReason' in event.val) return event.val.tokens === expected ? event.val : null;
-    if (event.val.index !== expected) return null;
-    expected += 1;
+    if ('finishReason' in event.val) return event.val.tokens === nextIndex ? event.val : null;
+    if (event.val.index !== nextIndex) return null;
+    nextIndex += 1;
     return event.val;
   };
 };
 
-/** Reads one answer's events to their end. */
+/** Reads all events of one answer. */
 const readAnswer = async (
   body: Dispatcher.ResponseData['body'],
   generation: Generation,
   onToken: (token: TokenEvent) => Promise<void>,
 ): Promise<Result<EndEvent, UpstreamFault>> => {
-  const arrived: string[] = [];
-  const parser = createParser({ onEvent: ({ data }) => arrived.push(data) });
+  const received: string[] = [];
+  const parser = createParser({ onEvent: ({ data }) => received.push(data) });
   const decoder = new TextDecoder();
-  const check = newEventCheck(generation);
+  const validate = newEventValidator(generation);
   let end: EndEvent | null = null;
   for await (const chunk of body) {
     parser.feed(decoder.decode(chunk as Buffer, { stream: true }));
-    for (const data of arrived.splice(0)) {
-      const event = check(data);
+    for (const data of received.splice(0)) {
+      const event = validate(data);
       if (!event || end) return Err('malformed');
       if ('finishReason' in event) end = event;
       else await onToken(event);
     }
   }
-  // A connection may end in good order before the answer does: a short answer is never a whole one.
+  // A connection may close cleanly before the answer is complete; without an end event it is
+  // truncated.
   return end ? Ok(end) : Err('broken');
 };
 
-/** Model engines that speak the stand-in's HTTP and server-sent events. */
+/** Client of model engines with the stand-in's interface of HTTP and server-sent events. */
 export const newHttpModelEngine = (): ModelEngine => {
   const agent = new Agent({
     connect: { timeout: CONNECT_TIMEOUT_MS },
@@ -92,7 +93,7 @@
   });
   const statusAgent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS }, pipelining: 1 });
 
-  /** Over connections that are kept: every upstream is read every second or so. */
+  /** Uses keep-alive connections, since every upstream is polled about once a second. */
   const readStatus = async (url: string): Promise<Result<EngineStatus, UpstreamFault>> => {
     const signal = AbortSignal.timeout(STATUS_TIMEOUT_MS);
     try {
@@ -100,12 +101,12 @@
       const status = restore(engineStatusSchema, await answer.body.json());
       return status.ok ? status : Err('malformed');
     } catch (error) {
-      const fault = upstreamFaultOf(error, signal);
+      const fault = toUpstreamFault(error, signal);
       return Err(fault === 'cancelled' ? 'silent' : fault);
     }
   };
 
-  /** Orders weights over a connection of its own: its timeout takes that connection down with it. */
+  /** Uses a separate connection for each order, since a timeout resets the connection. */
   const orderWeights = async (
     url: string,
     order: WeightOrder,
@@ -114,7 +115,7 @@
     const caller = newHttpCaller(url, WEIGHT_ORDER_TIMEOUT_MS);
     const answer = await caller.order('/v1/weights', engineStatusSchema, order, isStillHeld);
     await caller.close();
-    return answer.ok ? answer : Err(faultOfCall(answer.val));
+    return answer.ok ? answer : Err(fromPlatformFault(answer.val));
   };
 
   class HttpModelEngine extends ModelEngine {
@@ -138,7 +139,7 @@
         }
         return await readAnswer(answer.body, generation, onToken);
       } catch (error) {
-        return Err(upstreamFaultOf(error, signal));
+        return Err(toUpstreamFault(error, signal));
       }
     }
 
--- a/packages/upstreams/src/newHttpPlainService.ts
+++ b/packages/upstreams/src/newHttpPlainService.ts
@@ -2,14 +2,14 @@
 import type { Result } from '@cyclamengate/common/outcome';
 import { Agent, Client } from 'undici';
 import type { Dispatcher } from 'undici';
-import { upstreamFaultOf } from './newHttpModelEngine.js';
+import { toUpstreamFault } from './newHttpModelEngine.js';
 import PlainService from './PlainService.js';
 import type { ServiceAnswer, ServiceCall } from './serviceCall.js';
 import type { UpstreamFault } from './upstreamFault.js';
 
 const CONNECT_TIMEOUT_MS = 500;
 const ANSWER_TIMEOUT_MS = 10_000;
-/** The upstream answers so when it has not run the call. */
+/** Status with which an upstream answers a call that it has not run. */
 const NOT_RUN_STATUS = 503;
 
 const CONNECTION_OPTIONS = {
@@ -40,7 +40,7 @@
   body: Buffer.from(await answer.body.arrayBuffer()),
 });
 
-/** Plain services over HTTP. */
+/** Client of plain services over HTTP. */
 const newHttpPlainService = (): PlainService => {
   const agent = new Agent(CONNECTION_OPTIONS);
 
@@ -52,10 +52,10 @@
   ): Promise<Result<ServiceAnswer, UpstreamFault>> => {
     try {
       const answer = await dispatcher.request({ origin: url, ...requestOptions(call, signal) });
-      const whole = await readAnswer(answer);
-      return whole.status === NOT_RUN_STATUS ? Err('refused') : Ok(whole);
+      const serviceAnswer = await readAnswer(answer);
+      return serviceAnswer.status === NOT_RUN_STATUS ? Err('refused') : Ok(serviceAnswer);
     } catch (error) {
-      return Err(upstreamFaultOf(error, signal));
+      return Err(toUpstreamFault(error, signal));
     }
   };
 
@@ -63,10 +63,10 @@
     async call(
       url: string,
       call: ServiceCall,
-      needsProof: boolean,
+      needsFreshConnection: boolean,
       signal: AbortSignal,
     ): Promise<Result<ServiceAnswer, UpstreamFault>> {
-      if (!needsProof) return send(url, agent, call, signal);
+      if (!needsFreshConnection) return send(url, agent, call, signal);
       const client = new Client(url, CONNECTION_OPTIONS);
       const answer = await send(url, client, call, signal);
       await client.destroy();
--- a/packages/upstreams/src/newUpstreamDirectory.ts
+++ b/packages/upstreams/src/newUpstreamDirectory.ts
@@ -4,16 +4,16 @@
 import type { EngineStatus } from './engineStatus.js';
 import type { Upstream } from './upstream.js';
 
-const FAILURES_TO_OPEN = 3;
-const SHORTEST_OPEN_MS = 1_000;
-const LONGEST_OPEN_MS = 30_000;
+const FAILURES_TO_OPEN_BREAKER = 3;
+const MIN_BREAKER_OPEN_MS = 1_000;
+const MAX_BREAKER_OPEN_MS = 30_000;
 
 const newUpstream = (status: UpstreamStatus, slots: number): Upstream => ({
   status,
   reportedActive: 0,
   slots,
   inFlight: 0,
-  begunSinceReport: 0,
+  startedSinceReport: 0,
   failures: 0,
   breakerOpenUntil: -Infinity,
   isListed: true,
@@ -22,22 +22,24 @@
 });
 
 /**
- * The upstreams this host knows: what the platform lists, what they report of their load, and what
- * this host has seen of them itself.
+ * The upstreams known to this host, with the platform's listing, the load they report and the
+ * failures observed by this host.
  */
 const newUpstreamDirectory = (clock: Clock, readSettings: () => EffectiveSettings) => {
   const upstreams = new Map<string, Upstream>();
 
-  const slotsOf = (service: string): number =>
+  const readSlots = (service: string): number =>
     readSettings().services.get(service)?.slotsPerUpstream ?? 1;
 
-  /** Takes the platform's list. One missing from it has gone, or comes back with a later list. */
+  /**
+   * Applies the platform's list. An upstream missing from it is unusable until a later list has it.
+   */
   const list = (listed: readonly UpstreamStatus[]): void => {
     const ids = new Set(listed.map(({ id }) => id));
     listed.forEach((status) => {
-      const known = upstreams.get(status.id);
-      if (known) known.status = status;
-      else upstreams.set(status.id, newUpstream(status, slotsOf(status.service)));
+      const existing = upstreams.get(status.id);
+      if (existing) existing.status = status;
+      else upstreams.set(status.id, newUpstream(status, readSlots(status.service)));
     });
     upstreams.forEach((upstream, id) => {
       upstream.isListed = ids.has(id);
@@ -50,10 +52,10 @@
     if (!upstream) return;
     upstream.reportedActive = status.active;
     upstream.slots = status.slots;
-    upstream.begunSinceReport = 0;
+    upstream.startedSinceReport = 0;
     upstream.versions = status.versions;
-    // The list, the upstream itself or the settings may be first to say that it leaves; whichever
-    // it is, the word of the others, which lag, does not bring it back.
+    // The list, the upstream or the settings may be the first to show that it is leaving. The other
+    // sources lag, so none of them may reset this.
     upstream.isLeaving ||= status.isLeaving;
   };
 
@@ -78,12 +80,12 @@
     upstream.breakerOpenUntil = -Infinity;
   };
 
-  /** Opens the breaker after some failures in a row, longer each time. */
+  /** Opens the circuit breaker after several consecutive failures, each time for twice as long. */
   const fail = (upstream: Upstream): void => {
     upstream.failures += 1;
-    const excess = upstream.failures - FAILURES_TO_OPEN;
+    const excess = upstream.failures - FAILURES_TO_OPEN_BREAKER;
     if (excess < 0) return;
-    const openMs = Math.min(LONGEST_OPEN_MS, SHORTEST_OPEN_MS * 2 ** excess);
+    const openMs = Math.min(MAX_BREAKER_OPEN_MS, MIN_BREAKER_OPEN_MS * 2 ** excess);
     upstream.breakerOpenUntil = clock.now() + openMs;
   };
 
@@ -99,7 +101,7 @@
       ),
     begin: (upstream: Upstream): void => {
       upstream.inFlight += 1;
-      upstream.begunSinceReport += 1;
+      upstream.startedSinceReport += 1;
     },
     end: (upstream: Upstream): void => {
       upstream.inFlight -= 1;
--- a/packages/upstreams/src/orderUpstreams.ts
+++ b/packages/upstreams/src/orderUpstreams.ts
@@ -9,16 +9,16 @@
 import type { EffectiveSettings } from '@cyclamengate/settings/newEffectiveSettings';
 import { poolSettingsSchema, serviceSettingsSchema } from '@cyclamengate/settings/serviceSettings';
 import type { PoolSettings, ServiceSettings } from '@cyclamengate/settings/serviceSettings';
-import chooseWanted from './chooseWanted.js';
+import choosePoolSizes from './choosePoolSizes.js';
 
-const CHECK_EVERY_MS = 1_000;
-const LEASE_RESERVE_MS = 250;
-const NOTE_TIMEOUT_MS = 10_000;
-/** Fewer upstreams are ordered only after they were enough for this long. */
-const SHRINK_AFTER_MS = 30_000;
-/** A pool the platform took back is left alone for this long. */
+const CHECK_INTERVAL_MS = 1_000;
+const LEASE_MARGIN_MS = 250;
+const AUDIT_NOTE_TIMEOUT_MS = 10_000;
+/** Time for which fewer upstreams must have sufficed before the number is reduced. */
+const SHRINK_DELAY_MS = 30_000;
+/** Time for which a pool is avoided after the platform reclaimed an upstream of it. */
 const AVOID_RECLAIMED_MS = 60_000;
-/** A pool the platform could not fill is left to others for this long. */
+/** Time for which a pool is avoided after the platform could not provide all its upstreams. */
 const AVOID_UNAVAILABLE_MS = 15_000;
 
 export interface OrderUpstreamsOptions {
@@ -26,16 +26,16 @@
   log: Log;
   failureDomain: string;
   readSettings: () => EffectiveSettings;
-  /** Requests running and waiting, by service, over all hosts. */
+  /** Running and queued requests of a service over all hosts. */
   readDemand: (service: string) => number;
   orders: UpstreamOrders;
   writer: LogWriter;
   lease: Lease;
-  /** Told what the platform runs, each time it was read. */
+  /** Called with the upstreams that the platform runs, each time they were read. */
   onUpstreams: (upstreams: UpstreamStatus[]) => void;
 }
 
-const poolName = (
+const poolKey = (
   service: string,
   { failureDomain, kind }: Pick<PoolSettings, 'failureDomain' | 'kind'>,
 ): string => `${service} ${failureDomain} ${kind}`;
@@ -43,9 +43,9 @@
 /**
  * Orders the upstreams of one failure domain by demand, while this process holds its lease.
  *
- * An order's answer can be lost after it took effect. Orders say the wanted number, not a change,
- * and each round starts from what the platform says it runs, so neither a repetition nor a
- * successor that knows nothing starts an upstream twice for one wish.
+ * The answer to an order can be lost after the order took effect. Orders therefore state the wanted
+ * number, not a difference, and each round starts from the upstreams that the platform reports. So
+ * neither a retry nor a successor without prior state starts additional upstreams for one order.
  */
 const orderUpstreams = async (
   options: OrderUpstreamsOptions,
@@ -57,14 +57,11 @@
   const shrinkAt = new Map<string, number>();
   const lastOrdered = new Map<string, string>();
 
-  const noteReclaims = (upstreams: readonly UpstreamStatus[]): void =>
+  const avoidReclaimedPools = (upstreams: readonly UpstreamStatus[]): void =>
     upstreams
       .filter(({ reclaimed }) => reclaimed)
       .forEach(({ service, kind }) =>
-        avoidUntil.set(
-          poolName(service, { failureDomain, kind }),
-          clock.now() + AVOID_RECLAIMED_MS,
-        ),
+        avoidUntil.set(poolKey(service, { failureDomain, kind }), clock.now() + AVOID_RECLAIMED_MS),
       );
 
   const countRunning = (
@@ -80,24 +77,27 @@
         !upstream.reclaimed,
     ).length;
 
-  /** Holds a smaller number back until it has been enough for a while, so demand's dips cost none. */
-  const settle = (name: string, running: number, wanted: number): number => {
+  /**
+   * Delays a reduction until the smaller number has sufficed for a while, so that short dips in
+   * demand stop no upstream.
+   */
+  const delayShrinking = (name: string, running: number, wanted: number): number => {
     if (wanted >= running) {
       shrinkAt.delete(name);
       return wanted;
     }
-    const at = shrinkAt.get(name) ?? clock.now() + SHRINK_AFTER_MS;
-    shrinkAt.set(name, at);
-    return clock.now() >= at ? wanted : running;
+    const poolShrinkAt = shrinkAt.get(name) ?? clock.now() + SHRINK_DELAY_MS;
+    shrinkAt.set(name, poolShrinkAt);
+    return clock.now() >= poolShrinkAt ? wanted : running;
   };
 
-  const place = async (
+  const placeOrder = async (
     service: ServiceSettings,
     pool: PoolSettings,
     wanted: number,
     running: number,
   ): Promise<void> => {
-    const held = lease.holdFor(ORDER_TIMEOUT_MS + LEASE_RESERVE_MS);
+    const held = lease.holdFor(ORDER_TIMEOUT_MS + LEASE_MARGIN_MS);
     if (!held) return;
     const order = {
       failureDomain,
@@ -106,16 +106,16 @@
       wanted,
       fence: held.fence,
     };
-    const placed = await orders.place(order, () => isSameHold(lease, held, LEASE_RESERVE_MS));
+    const placed = await orders.place(order, () => isSameHold(lease, held, LEASE_MARGIN_MS));
     const outcome = placed.ok ? 'taken' : placed.val;
     log.info({ event: 'upstream-order', ...order, running, outcome });
-    const name = poolName(service.id, pool);
+    const name = poolKey(service.id, pool);
     if (placed.ok && countRunning(placed.val, service.id, pool) < wanted) {
       avoidUntil.set(name, clock.now() + AVOID_UNAVAILABLE_MS);
     }
-    const said = `${wanted} ${held.fence} ${outcome}`;
-    if (lastOrdered.get(name) === said) return;
-    lastOrdered.set(name, said);
+    const orderSummary = `${wanted} ${held.fence} ${outcome}`;
+    if (lastOrdered.get(name) === orderSummary) return;
+    lastOrdered.set(name, orderSummary);
     const note = {
       type: 'audit-note',
       subject: `${name}: ${wanted} wanted`,
@@ -123,23 +123,25 @@
       basis: `fence ${held.fence}, ${running} running, demand ${readDemand(service.id)}`,
       outcome,
     } as const;
-    writer.write(note, clock.now() + NOTE_TIMEOUT_MS).catch(() => undefined);
+    writer.write(note, clock.now() + AUDIT_NOTE_TIMEOUT_MS).catch(() => undefined);
   };
 
-  /** Pools that settings no longer have, but that the platform still runs. */
-  const findRemoved = (upstreams: readonly UpstreamStatus[]): [ServiceSettings, PoolSettings][] => {
+  /** Pools that the platform still runs but the settings no longer contain. */
+  const findRemovedPools = (
+    upstreams: readonly UpstreamStatus[],
+  ): [ServiceSettings, PoolSettings][] => {
     const removed = new Map<string, [ServiceSettings, PoolSettings]>();
     upstreams
       .filter(({ state }) => state !== 'leaving')
       .forEach(({ service: id, kind }) => {
         const service = readSettings().services.get(id);
-        const isKept = service?.pools.some(
+        const isConfigured = service?.pools.some(
           (pool) => pool.failureDomain === failureDomain && pool.kind === kind,
         );
-        if (isKept) return;
-        const gone = serviceSettingsSchema.parse({ id, type: 'plain' });
+        if (isConfigured) return;
+        const removedService = serviceSettingsSchema.parse({ id, type: 'plain' });
         const pool = poolSettingsSchema.parse({ failureDomain, kind, maxUpstreams: 0 });
-        removed.set(`${id} ${kind}`, [service ?? gone, pool]);
+        removed.set(`${id} ${kind}`, [service ?? removedService, pool]);
       });
     return [...removed.values()];
   };
@@ -148,33 +150,33 @@
     service: ServiceSettings,
     upstreams: readonly UpstreamStatus[],
   ): Promise<void> => {
-    const wantedByPool = chooseWanted({
+    const sizesByPool = choosePoolSizes({
       service,
       demand: readDemand(service.id),
       failureDomain,
-      isAvoided: (pool) => (avoidUntil.get(poolName(service.id, pool)) ?? 0) > clock.now(),
+      isAvoided: (pool) => (avoidUntil.get(poolKey(service.id, pool)) ?? 0) > clock.now(),
     });
-    for (const [pool, wanted] of wantedByPool) {
+    for (const [pool, wanted] of sizesByPool) {
       const running = countRunning(upstreams, service.id, pool);
-      const settled = settle(poolName(service.id, pool), running, wanted);
-      if (settled !== running) await place(service, pool, settled, running);
+      const target = delayShrinking(poolKey(service.id, pool), running, wanted);
+      if (target !== running) await placeOrder(service, pool, target, running);
     }
   };
 
   while (!signal.aborted) {
-    const next = clock.now() + CHECK_EVERY_MS;
+    const next = clock.now() + CHECK_INTERVAL_MS;
     if (lease.holdFor(0)) {
       const upstreams = await orders.read(failureDomain);
       if (upstreams.ok) {
-        noteReclaims(upstreams.val);
+        avoidReclaimedPools(upstreams.val);
         onUpstreams(upstreams.val);
         for (const service of readSettings().services.values()) {
           await orderService(service, upstreams.val);
         }
-        // Before the first settings are read, everything would look removed.
-        const removed = readSettings().services.size > 0 ? findRemoved(upstreams.val) : [];
+        // Before the first settings are read, all pools would appear to be removed.
+        const removed = readSettings().services.size > 0 ? findRemovedPools(upstreams.val) : [];
         for (const [service, pool] of removed) {
-          await place(service, pool, 0, countRunning(upstreams.val, service.id, pool));
+          await placeOrder(service, pool, 0, countRunning(upstreams.val, service.id, pool));
         }
       }
     }
--- a/packages/upstreams/src/serviceCall.ts
+++ b/packages/upstreams/src/serviceCall.ts
@@ -1,4 +1,4 @@
-/** A call to a plain service, stripped of everything that came with the caller's connection. */
+/** A call to a plain service, without the headers of the caller's request. */
 export interface ServiceCall {
   requestId: string;
   customer: string;
@@ -8,7 +8,7 @@
   body: Buffer | null;
 }
 
-/** A plain service's whole answer. */
+/** The complete answer of a plain service. */
 export interface ServiceAnswer {
   status: number;
   contentType: string;
--- a/packages/upstreams/src/upstream.ts
+++ b/packages/upstreams/src/upstream.ts
@@ -1,28 +1,29 @@
 import type { UpstreamStatus } from '@cyclamengate/platform/upstreamStatus';
 
-/** An upstream as one host sees it. */
+/** One host's view of an upstream. */
 export interface Upstream {
   status: UpstreamStatus;
-  /** Requests of all hosts that it reported last; lags behind. */
+  /** Active requests of all hosts in its last report, which lags. */
   reportedActive: number;
   slots: number;
-  /** This host's requests that run on it now. */
+  /** This host's requests that are currently running on it. */
   inFlight: number;
-  /** This host's requests begun since the last report, which the report cannot contain. */
-  begunSinceReport: number;
+  /** This host's requests started since the last report, which does not include them. */
+  startedSinceReport: number;
   failures: number;
-  /** While open, the breaker keeps new work away; on the monotonic clock. */
+  /** Monotonic time until which the circuit breaker is open and the upstream gets no new work. */
   breakerOpenUntil: number;
-  /** Whether the platform's newest list has it. */
+  /** Whether the platform's latest list contains it. */
   isListed: boolean;
   isLeaving: boolean;
   versions: Readonly<Record<string, number>>;
 }
 
-/** Requests that it is likely to be running, as a part of what it can run at once. */
+/** Estimates the number of running requests relative to the slots. */
 export const estimateLoad = ({
   reportedActive,
-  begunSinceReport,
+  startedSinceReport,
   inFlight,
   slots,
-}: Upstream): number => Math.max(inFlight, reportedActive + begunSinceReport) / Math.max(1, slots);
+}: Upstream): number =>
+  Math.max(inFlight, reportedActive + startedSinceReport) / Math.max(1, slots);
--- a/packages/upstreams/src/upstreamFault.ts
+++ b/packages/upstreams/src/upstreamFault.ts
@@ -1,15 +1,15 @@
 /**
- * Why an upstream gave no whole answer.
- * - `not-sent`: no connection came about; nothing ran
+ * Why an upstream gave no complete answer.
+ * - `not-sent`: no connection could be opened; nothing ran
  * - `refused`: it answered that it did not run the request
- * - `broken`: the connection ended in the middle; what ran is unknown
- * - `silent`: nothing came for too long; what ran is unknown
- * - `malformed`: the answer was short, crossed with another one or unreadable
- * - `cancelled`: this side gave it up
+ * - `broken`: the connection failed during the request; whether it ran is unknown
+ * - `silent`: the upstream did not respond in time; whether the request ran is unknown
+ * - `malformed`: the answer was truncated, belonged to another request or could not be parsed
+ * - `cancelled`: this host cancelled the request
  */
 export type UpstreamFault =
   'not-sent' | 'refused' | 'broken' | 'silent' | 'malformed' | 'cancelled';
 
-/** Whether it is known that the upstream ran nothing. */
+/** Whether the upstream certainly did not run the request. */
 export const isNotRun = (fault: UpstreamFault): boolean =>
   fault === 'not-sent' || fault === 'refused';
--- a/packages/upstreams/src/watchUpstreams.ts
+++ b/packages/upstreams/src/watchUpstreams.ts
@@ -3,10 +3,13 @@
 import type ModelEngine from './ModelEngine.js';
 import type { UpstreamDirectory } from './newUpstreamDirectory.js';
 
-const LIST_EVERY_MS = 1_000;
-const REPORT_EVERY_MS = 1_000;
+const LIST_INTERVAL_MS = 1_000;
+const REPORT_INTERVAL_MS = 1_000;
 
-/** Keeps the directory up to the platform's list. While the platform is out, the last list stands. */
+/**
+ * Updates the directory from the platform's list. If the platform is unreachable, the last list
+ * applies.
+ */
 export const watchHostList = async (
   clock: Clock,
   hostList: HostList,
@@ -14,14 +17,14 @@
   signal: AbortSignal,
 ): Promise<void> => {
   while (!signal.aborted) {
-    const next = clock.now() + LIST_EVERY_MS;
+    const next = clock.now() + LIST_INTERVAL_MS;
     const listing = await hostList.read();
     if (listing.ok) directory.list(listing.val.upstreams);
     await clock.sleepUntil(next, signal);
   }
 };
 
-/** Reads the load of the upstreams of this host's own failure domain. */
+/** Polls the status of the upstreams in this host's failure domain. */
 export const watchLoads = async (
   clock: Clock,
   engine: ModelEngine,
@@ -30,10 +33,12 @@
   signal: AbortSignal,
 ): Promise<void> => {
   while (!signal.aborted) {
-    const next = clock.now() + REPORT_EVERY_MS;
-    const near = directory.all().filter(({ status }) => status.failureDomain === failureDomain);
+    const next = clock.now() + REPORT_INTERVAL_MS;
+    const sameDomain = directory
+      .all()
+      .filter(({ status }) => status.failureDomain === failureDomain);
     await Promise.all(
-      near.map(async ({ status }) => {
+      sameDomain.map(async ({ status }) => {
         const reported = await engine.readStatus(status.url);
         if (reported.ok) directory.report(status.id, reported.val);
       }),
--- a/packages/upstreams/src/weightOrder.ts
+++ b/packages/upstreams/src/weightOrder.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** The wanted version of a trainer's weights on one engine. */
+/** An order for a version of a trainer's weights on one engine. */
 export const weightOrderSchema = z.object({
   trainer: z.string(),
   version: z.int(),
