--- a/packages/rollouts/src/SampleMaker.ts
+++ b/packages/rollouts/src/SampleMaker.ts
@@ -1,15 +1,15 @@
 import type { Result } from '@cyclamengate/common/outcome';
 import type { VersionSegment } from '@cyclamengate/coordination/sampleRecords';
 
-/** Tokens with the versions that produced them. */
-export interface MadeTokens {
+/** Tokens and the weight versions that produced them. */
+export interface GeneratedTokens {
   tokens: string[];
   segments: VersionSegment[];
 }
 
-export type MakeFault = 'failed' | 'refused-for-good';
+export type SampleFault = 'failed' | 'refused-for-good';
 
-/** Has samples generated and scored, on behalf of a trainer that presented its key. */
+/** Generates and scores samples on behalf of a trainer, with the key that the trainer presented. */
 export default abstract class SampleMaker {
   abstract generate(
     key: string,
@@ -17,7 +17,7 @@
     prompt: string,
     maxTokens: number,
     signal: AbortSignal,
-  ): Promise<Result<MadeTokens, MakeFault>>;
+  ): Promise<Result<GeneratedTokens, SampleFault>>;
 
   abstract score(
     key: string,
@@ -25,5 +25,5 @@
     prompt: string,
     tokens: readonly string[],
     signal: AbortSignal,
-  ): Promise<Result<number, MakeFault>>;
+  ): Promise<Result<number, SampleFault>>;
 }
--- a/packages/rollouts/src/newEntrySampleMaker.ts
+++ b/packages/rollouts/src/newEntrySampleMaker.ts
@@ -7,7 +7,7 @@
 import { z } from 'zod';
 import newSegments from './newSegments.js';
 import SampleMaker from './SampleMaker.js';
-import type { MadeTokens, MakeFault } from './SampleMaker.js';
+import type { GeneratedTokens, SampleFault } from './SampleMaker.js';
 
 const IDLE_TIMEOUT_MS = 30_000;
 const REQUEST_TIMEOUT_MS = 120_000;
@@ -19,39 +19,44 @@
 
 const scoreSchema = z.object({ score: z.number() });
 
-const faultOfStatus = (status: number): MakeFault =>
+const toSampleFault = (status: number): SampleFault =>
   status === 401 || status === 422 ? 'refused-for-good' : 'failed';
 
-const readStream = async (body: AsyncIterable<unknown>): Promise<Result<MadeTokens, MakeFault>> => {
-  const arrived: string[] = [];
-  const parser = createParser({ onEvent: ({ data }) => arrived.push(data) });
+const readStream = async (
+  body: AsyncIterable<unknown>,
+): Promise<Result<GeneratedTokens, SampleFault>> => {
+  const received: string[] = [];
+  const parser = createParser({ onEvent: ({ data }) => received.push(data) });
   const decoder = new TextDecoder();
   const tokens: string[] = [];
   const segments = newSegments();
-  let isWhole = false;
+  let isComplete = false;
   for await (const bytes of body) {
     parser.feed(decoder.decode(bytes as Buffer, { stream: true }));
-    for (const data of arrived.splice(0)) {
+    for (const data of received.splice(0)) {
       const raw = data === '[DONE]' ? null : parseJson(data);
       const chunk = raw?.ok ? restore(chunkSchema, raw.val) : null;
       if (data !== '[DONE]' && !chunk?.ok) return Err('failed');
       const choice = chunk?.ok ? chunk.val.choices[0] : undefined;
       const version = chunk?.ok ? chunk.val.version : undefined;
-      if (choice && choice.finish_reason !== null) isWhole = true;
+      if (choice && choice.finish_reason !== null) isComplete = true;
       else if (choice) {
-        // A token of unknown origin can't be labelled, and left out it would make the sample lie.
+        // A token of unknown version cannot be attributed, and leaving it out would corrupt the
+        // sample.
         if (typeof version !== 'number') return Err('failed');
         tokens.push(choice.text);
         segments.add(version);
       }
     }
   }
-  return isWhole && tokens.length > 0 ? Ok({ tokens, segments: segments.list() }) : Err('failed');
+  return isComplete && tokens.length > 0
+    ? Ok({ tokens, segments: segments.list() })
+    : Err('failed');
 };
 
 /**
- * Makes samples through the entries, so that training work queues there with everything else and
- * the trainer's key is checked there like any other.
+ * Makes samples through the entries, so that training work is queued with all other requests and
+ * the trainer's key is checked like any other key.
  */
 const newEntrySampleMaker = (pickEntry: () => string | null): SampleMaker => {
   const agent = new Agent({
@@ -66,8 +71,8 @@
     key: string,
     body: unknown,
     signal: AbortSignal,
-    read: (answer: AsyncIterable<unknown>) => Promise<Result<T, MakeFault>>,
-  ): Promise<Result<T, MakeFault>> => {
+    read: (answer: AsyncIterable<unknown>) => Promise<Result<T, SampleFault>>,
+  ): Promise<Result<T, SampleFault>> => {
     const entry = pickEntry();
     if (!entry) return Err('failed');
     try {
@@ -84,13 +89,13 @@
       });
       if (answer.statusCode === 200) return await read(answer.body);
       await answer.body.dump();
-      return Err(faultOfStatus(answer.statusCode));
+      return Err(toSampleFault(answer.statusCode));
     } catch {
       return Err('failed');
     }
   };
 
-  const readScore = async (body: AsyncIterable<unknown>): Promise<Result<number, MakeFault>> => {
+  const readScore = async (body: AsyncIterable<unknown>): Promise<Result<number, SampleFault>> => {
     const chunks: Buffer[] = [];
     for await (const bytes of body) chunks.push(bytes as Buffer);
     const raw = parseJson(Buffer.concat(chunks).toString());
@@ -105,7 +110,7 @@
       prompt: string,
       maxTokens: number,
       signal: AbortSignal,
-    ): Promise<Result<MadeTokens, MakeFault>> {
+    ): Promise<Result<GeneratedTokens, SampleFault>> {
       const body = { model: service, prompt, max_tokens: maxTokens, stream: true };
       return post('/v1/completions', key, body, signal, readStream);
     }
@@ -116,7 +121,7 @@
       prompt: string,
       tokens: readonly string[],
       signal: AbortSignal,
-    ): Promise<Result<number, MakeFault>> {
+    ): Promise<Result<number, SampleFault>> {
       const body = { prompt, completion: tokens.join('') };
       return post(`/v1/services/${service}/score`, key, body, signal, readScore);
     }
--- a/packages/rollouts/src/newPayloadCopies.ts
+++ b/packages/rollouts/src/newPayloadCopies.ts
@@ -4,7 +4,7 @@
 import type { Peer } from '@cyclamengate/coordination/newPeer';
 import type { PayloadStore } from './newPayloadStore.js';
 
-/** Why a payload could not be read: nobody has it, or somebody who may have it did not answer. */
+/** Why a payload could not be read: no host has it, or a host that may have it did not answer. */
 export type ReadPayloadFault = 'missing' | 'unreachable';
 
 export interface PayloadCopiesOptions {
@@ -13,31 +13,31 @@
   /** Other live rollout processes. */
   others: () => Member[];
   peerAt: (url: string) => Peer;
-  /** Whether this process has run long enough to know who is there. */
+  /** Whether this process has run long enough to know its peers. */
   isSettled: () => boolean;
 }
 
-/** Keeps each payload on two hosts, in two failure domains where there are two. */
+/** Stores each payload on two hosts, in different failure domains if possible. */
 const newPayloadCopies = ({ store, self, others, peerAt, isSettled }: PayloadCopiesOptions) => {
-  const farthestFirst = (): Member[] =>
+  const otherDomainsFirst = (): Member[] =>
     others().sort(
       (left, right) =>
         Number(left.failureDomain === self.failureDomain) -
         Number(right.failureDomain === self.failureDomain),
     );
 
-  const copyToOne = async (payloadDigest: string, payload: string): Promise<Member | null> => {
-    for (const member of farthestFirst()) {
+  const copyToOnePeer = async (payloadDigest: string, payload: string): Promise<Member | null> => {
+    for (const member of otherDomainsFirst()) {
       const isKept = await peerAt(member.peerUrl).keepPayload(payloadDigest, payload);
       if (isKept.ok && isKept.val) return member;
     }
     return null;
   };
 
-  /** @returns the ids of the hosts that hold it */
-  const spread = async (payloadDigest: string, payload: string): Promise<string[]> => {
+  /** @returns the ids of the hosts that store the payload */
+  const replicate = async (payloadDigest: string, payload: string): Promise<string[]> => {
     store.keep(payloadDigest, payload);
-    const copy = await copyToOne(payloadDigest, payload);
+    const copy = await copyToOnePeer(payloadDigest, payload);
     return copy ? [self.id, copy.id] : [self.id];
   };
 
@@ -52,20 +52,20 @@
   };
 
   /**
-   * Reads a payload from here or from whichever holder still has it.
+   * Reads a payload from this host or from any holder that still has it.
    *
-   * A process that has just started knows no peers yet. If it took their payloads for lost, it
-   * would have a whole step made anew for nothing.
+   * A process that has just started knows no peers yet. If it considered their payloads lost, a
+   * complete step would be generated again needlessly.
    */
   const read = async (
     payloadDigest: string,
     holders: readonly string[],
   ): Promise<Result<string, ReadPayloadFault>> => {
-    const own = store.read(payloadDigest);
-    if (own) return Ok(own);
-    const live = others().filter(({ id }) => holders.includes(id));
+    const local = store.read(payloadDigest);
+    if (local) return Ok(local);
+    const liveHolders = others().filter(({ id }) => holders.includes(id));
     let isCertain = isSettled();
-    for (const member of live) {
+    for (const member of liveHolders) {
       const payload = await fetchFrom(member, payloadDigest);
       if (payload.ok) return payload;
       if (payload.val === 'unreachable') isCertain = false;
@@ -73,7 +73,7 @@
     return Err(isCertain ? 'missing' : 'unreachable');
   };
 
-  return { spread, read };
+  return { replicate, read };
 };
 
 export type PayloadCopies = ReturnType<typeof newPayloadCopies>;
--- a/packages/rollouts/src/newPayloadStore.ts
+++ b/packages/rollouts/src/newPayloadStore.ts
@@ -1,31 +1,31 @@
 import digest from '@cyclamengate/common/digest';
 
-const MOST_BYTES = 16_777_216;
+const MAX_BYTES = 16_777_216;
 
 /**
- * Samples in memory, by digest. Bounded: the oldest go first, and a slot that lost all its copies
- * before it was offered is made anew.
+ * Samples in memory, by digest. When the store is full, the oldest samples are evicted; a slot that
+ * lost all copies before it was offered is generated again.
  */
 const newPayloadStore = () => {
   const payloads = new Map<string, string>();
   let bytes = 0;
 
-  const trim = (): void => {
+  const evictOldest = (): void => {
     payloads.forEach((payload, payloadDigest) => {
-      if (bytes <= MOST_BYTES) return;
+      if (bytes <= MAX_BYTES) return;
       payloads.delete(payloadDigest);
       bytes -= payload.length;
     });
   };
 
   return {
-    /** @returns whether it was kept; one that does not match its digest is not */
+    /** @returns whether the payload was stored; false if it does not match its digest */
     keep: (payloadDigest: string, payload: string): boolean => {
       if (digest(payload) !== payloadDigest) return false;
       if (payloads.has(payloadDigest)) return true;
       payloads.set(payloadDigest, payload);
       bytes += payload.length;
-      trim();
+      evictOldest();
       return true;
     },
     read: (payloadDigest: string): string | null => payloads.get(payloadDigest) ?? null,
--- a/packages/rollouts/src/newSampleReader.ts
+++ b/packages/rollouts/src/newSampleReader.ts
@@ -10,7 +10,7 @@
 import type { PayloadCopies } from './newPayloadCopies.js';
 
 const WRITE_TIMEOUT_MS = 5_000;
-const PAGE_SAMPLES = 64;
+const MAX_PAGE_SAMPLES = 64;
 
 interface Collected {
   digest: string;
@@ -18,19 +18,19 @@
 }
 
 export interface SamplePage {
-  /** Payloads in the order of their positions, the first one at the cursor. */
+  /** Payloads in the order of their positions, starting at the cursor. */
   payloads: string[];
-  /** The cursor to read on with; giving it acknowledges everything before it. */
+  /** The cursor of the next page. Reading from it acknowledges all samples before it. */
   next: number;
-  /** Whether nothing of the step is left to read. */
+  /** Whether all samples of the step have been read. */
   isComplete: boolean;
 }
 
 /**
- * Why nothing could be read.
- * - `unknown-step`: the step was never opened or is long over
- * - `not-fixed`: the log did not confirm the positions, or a holder does not answer; try again
- * - `lost`: a sample that may have been read already has lost all its copies
+ * Why no page could be read.
+ * - `unknown-step`: the step was never opened or is no longer retained
+ * - `not-fixed`: the log did not confirm the positions, or a holder does not answer; retry later
+ * - `lost`: all copies of a sample that may have been read before are lost
  */
 export type ReadFault = 'unknown-step' | 'not-fixed' | 'lost';
 
@@ -42,21 +42,21 @@
   copies: PayloadCopies;
 }
 
-/** Reads samples for a trainer, each exactly once by cursor. */
+/** Reads samples for a trainer. By cursor, each sample is delivered exactly once. */
 const newSampleReader = ({ clock, metrics, follower, writer, copies }: ReadOptions) => {
-  const stepOf = (trainer: string, step: number): StepState | undefined =>
+  const findStep = (trainer: string, step: number): StepState | undefined =>
     follower.state().trainers[trainer]?.steps[step];
 
   const sampleAt = (step: StepState, position: number): BoundSample | null =>
     step.slots[step.delivery[position] ?? -1]?.sample ?? null;
 
-  const release = async (
+  const releaseSlot = async (
     trainer: string,
     step: number,
     slot: number,
     reason: 'stale' | 'lost',
   ): Promise<void> => {
-    const attempt = stepOf(trainer, step)?.slots[slot]?.attempt;
+    const attempt = findStep(trainer, step)?.slots[slot]?.attempt;
     if (attempt === undefined) return;
     metrics.count(`samples_released_${reason}`);
     await writer.write(
@@ -70,22 +70,25 @@
     return !payload.ok && payload.val === 'missing';
   };
 
-  /** Frees the slots, not offered yet, whose samples aged out or are held by nobody any more. */
-  const releaseUnfit = async (trainer: TrainerSettings, step: number): Promise<void> => {
-    const state = stepOf(trainer.id, step);
+  /**
+   * Releases the slots that are not offered yet and whose samples are stale or have lost all
+   * copies.
+   */
+  const releaseStaleAndLost = async (trainer: TrainerSettings, step: number): Promise<void> => {
+    const state = findStep(trainer.id, step);
     const newest = follower.state().trainers[trainer.id]?.version ?? 0;
-    const waiting = state?.delivery.slice(state.offered) ?? [];
-    for (const slot of waiting) {
+    const unofferedSlots = state?.delivery.slice(state.offered) ?? [];
+    for (const slot of unofferedSlots) {
       const sample = state?.slots[slot]?.sample;
       const isStale = sample && !isFresh(sample.segments, newest, trainer.stalenessBoundVersions);
-      if (isStale) await release(trainer.id, step, slot, 'stale');
-      else if (sample && (await isLost(sample))) await release(trainer.id, step, slot, 'lost');
+      if (isStale) await releaseSlot(trainer.id, step, slot, 'stale');
+      else if (sample && (await isLost(sample))) await releaseSlot(trainer.id, step, slot, 'lost');
     }
   };
 
-  /** Fixes the positions up to `through` in the log, before anything of them leaves. */
+  /** Fixes the positions before `through` in the log, before any of their samples is delivered. */
   const offer = async (trainer: string, step: number, through: number): Promise<boolean> => {
-    const state = stepOf(trainer, step);
+    const state = findStep(trainer, step);
     if (!state || through <= state.offered) return state !== undefined;
     const digests = Array.from(
       { length: through - state.offered },
@@ -95,11 +98,14 @@
       { type: 'samples-offered', trainer, step, through, digests },
       clock.now() + WRITE_TIMEOUT_MS,
     );
-    // Another host may have offered the same at the same time; what counts is what stands now.
-    return decision.ok && (stepOf(trainer, step)?.offered ?? 0) >= through;
+    // Another host may have offered the same positions concurrently, so the folded state decides.
+    return decision.ok && (findStep(trainer, step)?.offered ?? 0) >= through;
   };
 
-  /** Reads from a position on, as far as payloads can be had; what was offered must be had. */
+  /**
+   * Reads payloads from a position on, up to the first unavailable one. Fails if that one was
+   * offered before.
+   */
   const collect = async (
     step: StepState,
     from: number,
@@ -117,26 +123,28 @@
     return Ok(collected);
   };
 
-  const areStillThere = (step: StepState, from: number, collected: readonly Collected[]): boolean =>
+  const areUnchanged = (step: StepState, from: number, collected: readonly Collected[]): boolean =>
     collected.every(({ digest }, index) => sampleAt(step, from + index)?.digest === digest);
 
-  /** Reads the samples from a cursor on; the same cursor again gives the same samples again. */
+  /**
+   * Reads a page of samples at a cursor. Repeated reads with one cursor return the same samples.
+   */
   return async (
     trainer: TrainerSettings,
     step: number,
     cursor: number,
   ): Promise<Result<SamplePage, ReadFault>> => {
-    await releaseUnfit(trainer, step);
-    const state = stepOf(trainer.id, step);
+    await releaseStaleAndLost(trainer, step);
+    const state = findStep(trainer.id, step);
     if (!state) return Err('unknown-step');
-    const collected = await collect(state, cursor, cursor + PAGE_SAMPLES);
+    const collected = await collect(state, cursor, cursor + MAX_PAGE_SAMPLES);
     if (!collected.ok) return collected;
     const next = cursor + collected.val.length;
     if (!(await offer(trainer.id, step, next))) return Err('not-fixed');
-    const fixed = stepOf(trainer.id, step);
-    if (!fixed || !areStillThere(fixed, cursor, collected.val)) return Err('not-fixed');
+    const confirmed = findStep(trainer.id, step);
+    if (!confirmed || !areUnchanged(confirmed, cursor, collected.val)) return Err('not-fixed');
     const payloads = collected.val.map(({ payload }) => payload);
-    return Ok({ payloads, next, isComplete: next >= fixed.slots.length });
+    return Ok({ payloads, next, isComplete: next >= confirmed.slots.length });
   };
 };
 
--- a/packages/rollouts/src/newSegments.ts
+++ b/packages/rollouts/src/newSegments.ts
@@ -1,6 +1,6 @@
 import type { VersionSegment } from '@cyclamengate/coordination/sampleRecords';
 
-/** Gathers, token by token, which weights produced a sample. */
+/** Records, token by token, which weight versions produced a sample. */
 const newSegments = () => {
   const segments: VersionSegment[] = [];
   return {
--- a/packages/rollouts/src/newStepRunner.ts
+++ b/packages/rollouts/src/newStepRunner.ts
@@ -9,17 +9,17 @@
 import type { TrainerSettings } from '@cyclamengate/settings/trainerSettings';
 import type { PayloadCopies } from './newPayloadCopies.js';
 import type SampleMaker from './SampleMaker.js';
-import { sealSample } from './sample.js';
+import { serializeSample } from './sample.js';
 import type { StepRequest } from './stepRequest.js';
 
 const BIND_TIMEOUT_MS = 10_000;
-/** Slots that are worked on at once. */
-const SLOTS_AT_ONCE = 64;
-/** Late copies start when no more than this part of the slots is still unbound … */
-const STRAGGLER_PART = 0.25;
-/** … and a slot has taken this many times the median. */
-const STRAGGLER_FACTOR = 2;
-const CHECK_EVERY_MS = 100;
+/** Maximum number of slots processed concurrently. */
+const MAX_CONCURRENT_SLOTS = 64;
+/** Late copies start only while at most this fraction of the slots is unbound. */
+const STRAGGLER_MAX_UNBOUND_FRACTION = 0.25;
+/** A slot is a straggler once it has taken this many times the median duration. */
+const STRAGGLER_MEDIAN_FACTOR = 2;
+const CHECK_INTERVAL_MS = 100;
 
 export interface StepRunnerOptions {
   clock: Clock;
@@ -46,13 +46,13 @@
 const newStepRunner = (options: StepRunnerOptions) => {
   const { clock, log, metrics, follower, writer, copies, maker } = options;
 
-  const stepOf = (trainer: string, step: number): StepState | undefined =>
+  const findStep = (trainer: string, step: number): StepState | undefined =>
     follower.state().trainers[trainer]?.steps[step];
 
-  const isOpen = (trainer: string, step: number, slot: number): boolean =>
-    stepOf(trainer, step)?.slots[slot]?.sample === null;
+  const isUnbound = (trainer: string, step: number, slot: number): boolean =>
+    findStep(trainer, step)?.slots[slot]?.sample === null;
 
-  /** Makes one sample and binds it; what is not bound in the end is thrown away and counted. */
+  /** Makes one sample and binds it. A sample that could not be bound is discarded and counted. */
   const makeSample = async (
     trainer: TrainerSettings,
     key: string,
@@ -60,32 +60,32 @@
     slot: number,
     signal: AbortSignal,
   ): Promise<'bound' | 'discarded' | 'failed' | 'refused-for-good'> => {
-    const attempt = stepOf(trainer.id, request.step)?.slots[slot]?.attempt;
+    const attempt = findStep(trainer.id, request.step)?.slots[slot]?.attempt;
     const group = Math.floor(slot / request.groupSize);
     const prompt = request.prompts[group];
     if (attempt === undefined || prompt === undefined) return 'discarded';
-    const made = await maker.generate(key, trainer.service, prompt, request.maxTokens, signal);
-    if (!made.ok) return made.val;
+    const generated = await maker.generate(key, trainer.service, prompt, request.maxTokens, signal);
+    if (!generated.ok) return generated.val;
     metrics.count('samples_made');
     const newest = follower.state().trainers[trainer.id]?.version ?? 0;
-    if (!isFresh(made.val.segments, newest, trainer.stalenessBoundVersions)) {
+    if (!isFresh(generated.val.segments, newest, trainer.stalenessBoundVersions)) {
       metrics.count('samples_discarded_stale');
       return 'discarded';
     }
     const scored = trainer.scoringService
-      ? await maker.score(key, trainer.scoringService, prompt, made.val.tokens, signal)
+      ? await maker.score(key, trainer.scoringService, prompt, generated.val.tokens, signal)
       : null;
     if (scored && !scored.ok) return scored.val;
-    const { payload, payloadDigest } = sealSample({
+    const { payload, payloadDigest } = serializeSample({
       trainer: trainer.id,
       step: request.step,
       slot,
       group,
       prompt,
-      ...made.val,
+      ...generated.val,
       score: scored ? scored.val : null,
     });
-    const holders = await copies.spread(payloadDigest, payload);
+    const holders = await copies.replicate(payloadDigest, payload);
     const decision = await writer.write(
       {
         type: 'sample-bound',
@@ -95,7 +95,7 @@
         attempt,
         digest: payloadDigest,
         holders,
-        segments: made.val.segments,
+        segments: generated.val.segments,
       },
       clock.now() + BIND_TIMEOUT_MS,
     );
@@ -104,7 +104,7 @@
     return 'discarded';
   };
 
-  /** Works on one slot until it is bound, by whomever, or the step is given up. */
+  /** Makes samples for one slot until any process has bound it or the step is aborted. */
   const fillSlot = async (
     trainer: TrainerSettings,
     key: string,
@@ -113,7 +113,7 @@
     signal: AbortSignal,
   ): Promise<void> => {
     let failures = 0;
-    while (!signal.aborted && isOpen(trainer.id, request.step, slot)) {
+    while (!signal.aborted && isUnbound(trainer.id, request.step, slot)) {
       const outcome = await makeSample(trainer, key, request, slot, signal);
       if (outcome === 'refused-for-good') {
         log.warn({ event: 'slot-refused', trainer: trainer.id, step: request.step, slot });
@@ -127,8 +127,8 @@
   };
 
   /**
-   * Runs a step until all its slots are bound or the deadline passes. Stragglers are covered by
-   * late copies within the trainer's budget; the first binding in the log wins.
+   * Runs a step until all its slots are bound or the deadline passes. Stragglers get late copies
+   * within the trainer's limit; the first binding in the log wins.
    */
   const run = async (
     trainer: TrainerSettings,
@@ -141,8 +141,8 @@
     const durations: number[] = [];
     let lateCopies = 0;
 
-    const openSlots = (): number[] => {
-      const slots = stepOf(trainer.id, request.step)?.slots ?? [];
+    const listUnboundSlots = (): number[] => {
+      const slots = findStep(trainer.id, request.step)?.slots ?? [];
       return slots.flatMap(({ sample }, slot) => (sample ? [] : [slot]));
     };
 
@@ -153,7 +153,7 @@
         .catch((error: unknown) => log.error({ event: 'slot-failed', error: String(error) }))
         .finally(() => {
           job.copies -= 1;
-          if (job.copies === 0 || !isOpen(trainer.id, request.step, slot)) {
+          if (job.copies === 0 || !isUnbound(trainer.id, request.step, slot)) {
             job.controller.abort();
             jobs.delete(slot);
           }
@@ -166,12 +166,12 @@
       startCopy(slot, job);
     };
 
-    const coverStragglers = (open: readonly number[], slots: number): void => {
-      if (open.length > slots * STRAGGLER_PART) return;
-      const limit = median(durations) * STRAGGLER_FACTOR;
-      open.forEach((slot) => {
+    const startLateCopies = (unbound: readonly number[], slots: number): void => {
+      if (unbound.length > slots * STRAGGLER_MAX_UNBOUND_FRACTION) return;
+      const limitMs = median(durations) * STRAGGLER_MEDIAN_FACTOR;
+      unbound.forEach((slot) => {
         const job = jobs.get(slot);
-        const isLate = job && job.copies === 1 && clock.now() - job.startedAt > limit;
+        const isLate = job && job.copies === 1 && clock.now() - job.startedAt > limitMs;
         if (!isLate || lateCopies >= trainer.maxLateCopies) return;
         lateCopies += 1;
         metrics.count('samples_late_copies');
@@ -180,15 +180,15 @@
     };
 
     while (!signal.aborted && clock.now() < deadline) {
-      const open = openSlots();
-      const slots = stepOf(trainer.id, request.step)?.slots.length ?? 0;
-      if (open.length === 0) break;
-      open
+      const unbound = listUnboundSlots();
+      const slots = findStep(trainer.id, request.step)?.slots.length ?? 0;
+      if (unbound.length === 0) break;
+      unbound
         .filter((slot) => !jobs.has(slot))
-        .slice(0, Math.max(0, SLOTS_AT_ONCE - jobs.size))
+        .slice(0, Math.max(0, MAX_CONCURRENT_SLOTS - jobs.size))
         .forEach(startSlot);
-      coverStragglers(open, slots);
-      await clock.sleepUntil(Math.min(deadline, clock.now() + CHECK_EVERY_MS), signal);
+      startLateCopies(unbound, slots);
+      await clock.sleepUntil(Math.min(deadline, clock.now() + CHECK_INTERVAL_MS), signal);
     }
     jobs.forEach(({ controller }) => controller.abort());
   };
--- a/packages/rollouts/src/rolloutWeights.ts
+++ b/packages/rollouts/src/rolloutWeights.ts
@@ -10,14 +10,14 @@
 import type ModelEngine from '@cyclamengate/upstreams/ModelEngine';
 import { WEIGHT_ORDER_TIMEOUT_MS } from '@cyclamengate/upstreams/newHttpModelEngine';
 
-/** Engines are read back this often while some are behind … */
-const CHECK_BEHIND_MS = 500;
-/** … and this often while all are where they should be. */
-const CHECK_EVERY_MS = 2_000;
-/** Lease that must be left beyond an order's timeout. */
-const LEASE_RESERVE_MS = 250;
-/** Part of a service's engines in a failure domain that may be loading at once. */
-const LOADING_PART = 0.5;
+/** Interval of polling the engines while some of them lack the newest weights. */
+const BEHIND_CHECK_INTERVAL_MS = 500;
+/** Interval of polling the engines while all of them have the newest weights. */
+const CHECK_INTERVAL_MS = 2_000;
+/** Lease time that must remain beyond the timeout of an order. */
+const LEASE_MARGIN_MS = 250;
+/** Fraction of a service's engines in a failure domain that may load weights concurrently. */
+const MAX_LOADING_FRACTION = 0.5;
 
 export interface WeightRolloutOptions {
   clock: Clock;
@@ -25,25 +25,26 @@
   metrics: Metrics;
   follower: Follower;
   readSettings: () => EffectiveSettings;
-  /** Upstreams that this lease's failure domain has now. */
+  /** Current upstreams of the lease's failure domain. */
   readUpstreams: () => UpstreamStatus[];
   engine: ModelEngine;
   lease: Lease;
 }
 
-interface Seen {
+interface PolledEngine {
   upstream: UpstreamStatus;
   status: EngineStatus;
 }
 
 /**
- * Brings each trainer's newest weights onto the engines of one failure domain, while this process
+ * Rolls out each trainer's newest weights to the engines of one failure domain, while this process
  * holds the domain's lease.
  *
- * A swap can fail half way, an order's answer can be lost, an engine can die or restart with older
- * weights. So nothing is remembered about engines: each round reads back what every engine says is
- * in force and orders, as an absolute version, whatever is missing. Never more than a part of the
- * engines load at once, so the others go on serving and the weight store is not overrun.
+ * A weight swap can fail midway, the answer to an order can be lost, and an engine can fail or
+ * restart with older weights. Therefore no state is kept about engines: each round polls the active
+ * versions of every engine and orders missing weights as absolute versions. Only a fraction of the
+ * engines load weights concurrently, so that the others keep serving and the weight store is not
+ * overloaded.
  */
 const rolloutWeights = async (
   options: WeightRolloutOptions,
@@ -51,90 +52,98 @@
 ): Promise<void> => {
   const { clock, log, metrics, follower, readSettings, readUpstreams, engine, lease } = options;
 
-  let wake = (): void => undefined;
+  let notifyPublished = (): void => undefined;
 
-  const look = async (service: string): Promise<Seen[]> => {
-    const live = readUpstreams().filter(
+  const pollEngines = async (service: string): Promise<PolledEngine[]> => {
+    const liveUpstreams = readUpstreams().filter(
       (upstream) => upstream.service === service && upstream.state === 'live',
     );
-    const seen = await Promise.all(
-      live.map(async (upstream) => ({ upstream, status: await engine.readStatus(upstream.url) })),
+    const polled = await Promise.all(
+      liveUpstreams.map(async (upstream) => ({
+        upstream,
+        status: await engine.readStatus(upstream.url),
+      })),
     );
-    return seen.flatMap(({ upstream, status }) =>
+    return polled.flatMap(({ upstream, status }) =>
       status.ok && !status.val.isLeaving ? [{ upstream, status: status.val }] : [],
     );
   };
 
-  const order = async ({ upstream }: Seen, trainer: string, version: number): Promise<void> => {
-    // Engines that ignore the fencing number take an order from anybody. The lease is looked at in
-    // the tick in which the order is written, and outlasts the order's timeout.
-    const held = lease.holdFor(WEIGHT_ORDER_TIMEOUT_MS + LEASE_RESERVE_MS);
+  const order = async (
+    { upstream }: PolledEngine,
+    trainer: string,
+    version: number,
+  ): Promise<void> => {
+    // Engines that ignore the fencing token accept orders from any sender. So the lease is checked
+    // in the tick in which the order is written, and must outlast the order's timeout.
+    const held = lease.holdFor(WEIGHT_ORDER_TIMEOUT_MS + LEASE_MARGIN_MS);
     if (!held) return;
     const wanted = { trainer, version, fence: held.fence };
-    const taken = await engine.orderWeights(upstream.url, wanted, () =>
-      isSameHold(lease, held, LEASE_RESERVE_MS),
+    const accepted = await engine.orderWeights(upstream.url, wanted, () =>
+      isSameHold(lease, held, LEASE_MARGIN_MS),
     );
-    metrics.count(taken.ok ? 'weight_orders_taken' : 'weight_orders_failed');
+    metrics.count(accepted.ok ? 'weight_orders_taken' : 'weight_orders_failed');
     log.info({
       event: 'weight-order',
       upstream: upstream.id,
       trainer,
       version,
-      outcome: taken.ok ? 'taken' : taken.val,
+      outcome: accepted.ok ? 'taken' : accepted.val,
     });
   };
 
-  /** @returns whether some engine is still not at the trainer's version */
-  const bringUp = async (
+  /** @returns whether some engine did not have the trainer's version yet */
+  const orderMissing = async (
     trainer: string,
     version: number,
-    seen: Seen[],
-    busy: Set<string>,
+    polled: PolledEngine[],
+    loadingIds: Set<string>,
   ): Promise<boolean> => {
-    const missing = seen.filter(({ status }) => status.versions[trainer] !== version);
-    const behind = missing.filter(({ upstream }) => !busy.has(upstream.id));
-    const loading = seen.filter(({ upstream }) => busy.has(upstream.id)).length;
-    const room = Math.max(1, Math.floor(seen.length * LOADING_PART)) - loading;
-    const chosen = behind.slice(0, Math.max(0, room));
-    chosen.forEach(({ upstream }) => busy.add(upstream.id));
+    const outdated = polled.filter(({ status }) => status.versions[trainer] !== version);
+    const orderable = outdated.filter(({ upstream }) => !loadingIds.has(upstream.id));
+    const loading = polled.filter(({ upstream }) => loadingIds.has(upstream.id)).length;
+    const maxNewLoads = Math.max(1, Math.floor(polled.length * MAX_LOADING_FRACTION)) - loading;
+    const chosen = orderable.slice(0, Math.max(0, maxNewLoads));
+    chosen.forEach(({ upstream }) => loadingIds.add(upstream.id));
     await Promise.all(chosen.map((one) => order(one, trainer, version)));
-    return missing.length > 0;
+    return outdated.length > 0;
   };
 
-  /** Goes through all engines once. @returns whether some engine is behind */
+  /** Polls all engines once and orders missing weights. @returns whether some engine is behind */
   const runRound = async (): Promise<boolean> => {
     const trainers = [...readSettings().trainers.values()];
-    const seenByService = new Map<string, Seen[]>();
-    // Engines that load already, or were ordered to for another trainer of this round.
-    const busy = new Set<string>();
+    const polledByService = new Map<string, PolledEngine[]>();
+    // Engines that are loading weights or were ordered to in this round, for any trainer.
+    const loadingIds = new Set<string>();
     let isBehind = false;
     for (const { id, service } of trainers) {
       const version = follower.state().trainers[id]?.version ?? 0;
-      const seen = version > 0 ? (seenByService.get(service) ?? (await look(service))) : [];
-      seenByService.set(service, seen);
-      seen
+      const polled =
+        version > 0 ? (polledByService.get(service) ?? (await pollEngines(service))) : [];
+      polledByService.set(service, polled);
+      polled
         .filter(({ status }) => Object.keys(status.loading).length > 0)
-        .forEach(({ upstream }) => busy.add(upstream.id));
-      if (await bringUp(id, version, seen, busy)) isBehind = true;
+        .forEach(({ upstream }) => loadingIds.add(upstream.id));
+      if (await orderMissing(id, version, polled, loadingIds)) isBehind = true;
     }
     return isBehind;
   };
 
-  /** Resolves at the deadline, or as soon as a trainer publishes. */
+  /** Resolves at the deadline, or as soon as a trainer publishes weights. */
   const waitForNext = async (deadline: number): Promise<void> => {
     const published = new AbortController();
-    wake = () => published.abort();
+    notifyPublished = () => published.abort();
     await clock.sleepUntil(deadline, AbortSignal.any([signal, published.signal]));
   };
 
   follower.onFolded(({ record }) => {
-    if (record.type === 'weights-published') wake();
+    if (record.type === 'weights-published') notifyPublished();
   });
 
   while (!signal.aborted) {
     const startedAt = clock.now();
     const isBehind = lease.holdFor(0) ? await runRound() : false;
-    await waitForNext(startedAt + (isBehind ? CHECK_BEHIND_MS : CHECK_EVERY_MS));
+    await waitForNext(startedAt + (isBehind ? BEHIND_CHECK_INTERVAL_MS : CHECK_INTERVAL_MS));
   }
 };
 
--- a/packages/rollouts/tests/newEntrySampleMaker.test.ts
+++ b/packages/rollouts/tests/newEntrySampleMaker.test.ts
@@ -6,9 +6,9 @@
 const chunk = (text: string, finishReason: string | null, version?: number): string =>
   `data: ${JSON.stringify({ choices: [{ text, finish_reason: finishReason }], version })}\n\n`;
 
-// A token comes without the version that produced it. Left out, the sample would be short and still
-// look whole; labelled by its neighbours, it would lie.
-test('an answer with a token of unknown version makes no sample', async (t) => {
+// A token arrives without the version that produced it. Without the token, the sample would be
+// truncated but look complete; with a neighbour's version, its attribution could be wrong.
+test('an answer with a token of unknown version yields no sample', async (t) => {
   const server = createServer((request, response) => {
     request.resume();
     response.end(
--- a/packages/rollouts/tests/rolloutBench.ts
+++ b/packages/rollouts/tests/rolloutBench.ts
@@ -17,9 +17,9 @@
 import { sampleSchema } from '../src/sample.js';
 import type { Sample } from '../src/sample.js';
 import SampleMaker from '../src/SampleMaker.js';
-import type { MadeTokens, MakeFault } from '../src/SampleMaker.js';
+import type { GeneratedTokens, SampleFault } from '../src/SampleMaker.js';
 
-const MAKE_MS = 100;
+const GENERATION_MS = 100;
 const SILENT_LEVEL = 6;
 export const trainer = trainerSettingsSchema.parse({
   id: 'tone',
@@ -57,15 +57,17 @@
     super();
   }
 
-  async generate(): Promise<Result<MadeTokens, MakeFault>> {
+  async generate(): Promise<Result<GeneratedTokens, SampleFault>> {
     this.made += 1;
     const call = this.made;
     const { version } = this;
-    await this.clock.sleepUntil(this.clock.now() + (this.slowCalls.has(call) ? 40_000 : MAKE_MS));
+    await this.clock.sleepUntil(
+      this.clock.now() + (this.slowCalls.has(call) ? 40_000 : GENERATION_MS),
+    );
     return Ok({ tokens: [`${this.name} ${call}`], segments: [{ version, tokens: 1 }] });
   }
 
-  async score(): Promise<Result<number, MakeFault>> {
+  async score(): Promise<Result<number, SampleFault>> {
     return Err('failed');
   }
 }
@@ -78,7 +80,11 @@
   const members: Member[] = [];
   const settled = new Set(['one', 'two', 'three']);
 
-  const newHost = (id: string, failureDomain: string, known: readonly Member[] = members) => {
+  const newHost = (
+    id: string,
+    failureDomain: string,
+    knownMembers: readonly Member[] = members,
+  ) => {
     const store = newPayloadStore();
     const { follower, writer, metrics, signal, kill } = newLogHost(log, clock, id);
     const self: Member = {
@@ -99,7 +105,7 @@
     const copies = newPayloadCopies({
       store,
       self,
-      others: () => known.filter((member) => member.id !== id && stores.has(member.id)),
+      others: () => knownMembers.filter((member) => member.id !== id && stores.has(member.id)),
       peerAt: (url) =>
         ({
           keepPayload: async (digest: string, payload: string) =>
@@ -126,7 +132,7 @@
       store,
       readSamples,
       run: () => runner.run(trainer, 'key', request, clock.now() + request.timeoutMs, signal),
-      /** The process is gone, and with it everything in its memory. */
+      /** Kills the process, which loses everything in its memory. */
       kill: (): void => {
         kill();
         stores.delete(id);
@@ -150,7 +156,7 @@
   return { log, clock, newHost, publish };
 };
 
-/** Two processes in two failure domains that have read what there is. */
+/** Two processes in two failure domains that have read all records of the log. */
 export const newPair = async () => {
   const bench = newBench();
   const one = bench.newHost('one', 'argos-c');
@@ -161,25 +167,25 @@
 
 type Host = ReturnType<ReturnType<typeof newBench>['newHost']>;
 
-/** Reads a page while time goes on. */
+/** Reads a page while the clock advances by a second. */
 export const readPage = async (clock: ManualClock, host: Host, cursor: number) => {
   const reading = host.readSamples(trainer, 1, cursor);
   await clock.advance(1_000);
   return reading;
 };
 
-export const samplesOf = (payloads: readonly string[]): Sample[] =>
+export const parseSamples = (payloads: readonly string[]): Sample[] =>
   payloads.map((payload) => sampleSchema.parse(JSON.parse(payload)));
 
 export const readAll = async (clock: ManualClock, host: Host): Promise<Sample[]> => {
   const samples: Sample[] = [];
   for (let round = 0; round < 200; round += 1) {
     const page = await readPage(clock, host, samples.length);
-    if (page.ok) samples.push(...samplesOf(page.val.payloads));
+    if (page.ok) samples.push(...parseSamples(page.val.payloads));
     if (page.ok && page.val.isComplete) return samples;
   }
-  throw new Error('the step was never whole');
+  throw new Error('the step was never completed');
 };
 
-export const isEachSlotOnce = (samples: Sample[]): boolean =>
+export const hasEachSlotOnce = (samples: Sample[]): boolean =>
   samples.length === 8 && new Set(samples.map(({ slot }) => slot)).size === 8;
--- a/packages/rollouts/tests/rolloutWeights.test.ts
+++ b/packages/rollouts/tests/rolloutWeights.test.ts
@@ -12,9 +12,9 @@
 const SILENT_LEVEL = 6;
 const ENGINES = ['a', 'b', 'c', 'd'];
 
-// Two trainers that share engines publish at the same time. If each had half of the engines load its
-// weights, nobody would be left to serve.
-test('two trainers together have no more than half of the engines load at once', async (t) => {
+// Two trainers that share engines publish concurrently. If each had half of the engines load its
+// weights, no engine would be left to serve requests.
+test('two trainers together have at most half of the engines load weights concurrently', async (t) => {
   const clock = newManualClock();
   const follower = newFollower(clock);
   ['one', 'two'].forEach((trainer, offset) => {
--- a/packages/rollouts/tests/rollouts.test.ts
+++ b/packages/rollouts/tests/rollouts.test.ts
@@ -1,20 +1,20 @@
 import test from 'ava';
-import { trainer, newBench, newPair, readPage, readAll, isEachSlotOnce } from './rolloutBench.js';
+import { trainer, newBench, newPair, readPage, readAll, hasEachSlotOnce } from './rolloutBench.js';
 
-// The trainer asks two processes for the same step, since the first one was slow to answer. Both make
-// all samples; the naive way delivers both.
+// The trainer requests the same step from two processes, because the first one answered slowly.
+// Both make all samples, but only one sample per slot may be delivered.
 test('two processes that fill the same step bind each slot once', async (t) => {
   const { clock, one, two } = await newPair();
   Promise.all([one.run(), two.run()]).catch(() => undefined);
   await clock.advance(2_000);
   const first = await readAll(clock, one);
   const second = await readAll(clock, two);
-  t.true(isEachSlotOnce(first));
+  t.true(hasEachSlotOnce(first));
   t.deepEqual(first, second);
 });
 
-// The answer with the samples is lost on its way and the trainer asks again, perhaps elsewhere.
-test('the same cursor gives the same samples again, from either process', async (t) => {
+// The answer with the samples is lost and the trainer retries, possibly with another process.
+test('the same cursor returns the same samples from either process', async (t) => {
   const { clock, one, two } = await newPair();
   one.run().catch(() => undefined);
   await clock.advance(2_000);
@@ -24,20 +24,20 @@
   t.deepEqual(again, lost);
 });
 
-// The process that made the samples is killed after it bound them and before anybody read them.
-test('a killed process loses no bound sample, its copy is elsewhere', async (t) => {
+// The process that made the samples is killed after binding them and before the trainer read them.
+test('a killed process loses no bound sample, since a peer has a copy', async (t) => {
   const { clock, one, two } = await newPair();
   one.run().catch(() => undefined);
   await clock.advance(450);
   one.kill();
   two.run().catch(() => undefined);
   const samples = await readAll(clock, two);
-  t.true(isEachSlotOnce(samples));
+  t.true(hasEachSlotOnce(samples));
 });
 
-// Both hosts that hold a sample are replaced before the trainer read it. The trainer would wait for
-// ever, or get an empty page for a whole one.
-test('a slot that lost both copies before it was offered is made anew', async (t) => {
+// Both hosts that hold a sample are replaced before the trainer read it. Without releasing its
+// slot, the trainer would wait indefinitely or receive an empty page as a complete step.
+test('a slot that lost both copies before it was offered is filled again', async (t) => {
   const { clock, newHost, one, two } = await newPair();
   one.run().catch(() => undefined);
   await clock.advance(2_000);
@@ -48,11 +48,11 @@
   const first = await readPage(clock, three, 0);
   t.true(first.ok && first.val.payloads.length === 0 && !first.val.isComplete);
   three.run().catch(() => undefined);
-  t.true(isEachSlotOnce(await readAll(clock, three)));
+  t.true(hasEachSlotOnce(await readAll(clock, three)));
 });
 
 // A new process does not know its peers yet and finds none of the holders of a step's samples.
-test('a process that has just started takes no sample for lost', async (t) => {
+test('a process that has just started considers no sample lost', async (t) => {
   const { clock, newHost, one } = await newPair();
   one.run().catch(() => undefined);
   await clock.advance(2_000);
@@ -81,9 +81,9 @@
   t.is(two.maker.made, 0);
 });
 
-// New weights come out while bound samples wait for a slow trainer. It would train on answers that
-// are older than it allows.
-test('samples that age out before they are read are made anew, and the step still ends', async (t) => {
+// New weights are published while bound samples wait for a slow trainer, which would receive
+// samples beyond its staleness bound.
+test('samples that become stale before they are read are replaced, and the step completes', async (t) => {
   const { clock, newHost, publish } = newBench();
   const one = newHost('one', 'argos-c');
   await clock.advance(100);
@@ -97,12 +97,12 @@
   t.true(stale.ok && stale.val.payloads.length === 0);
   one.run().catch(() => undefined);
   const samples = await readAll(clock, one);
-  t.true(isEachSlotOnce(samples));
+  t.true(hasEachSlotOnce(samples));
   t.true(samples.every(({ segments }) => segments.every(({ version }) => version >= 2)));
 });
 
-// One host has not seen the newest weights yet when it is asked for samples.
-test('a host with an old view can not deliver a sample that has grown too old', async (t) => {
+// A host has not read the publication of the newest weights yet when a trainer requests samples.
+test('a host with an old view cannot deliver a sample that has become stale', async (t) => {
   const { log, clock, newHost, publish } = newBench();
   const one = newHost('one', 'argos-c');
   await clock.advance(100);
@@ -118,8 +118,8 @@
   t.true(log.records.length > 0);
 });
 
-// The log is out for a long time in the middle of a step.
-test('through an outage of the log a step is late, and each slot comes once', async (t) => {
+// The log is unavailable for 30 seconds during a step.
+test('an outage of the log delays a step, and each slot is delivered once', async (t) => {
   const { log, clock, newHost } = newBench();
   const one = newHost('one', 'argos-c');
   const two = newHost('two', 'nafplio-a');
@@ -132,10 +132,10 @@
   t.true(during.ok && during.val.payloads.length === 0);
   log.isDown = false;
   log.fate = () => (log.records.length % 2 === 0 ? 'answer-lost' : 'lands');
-  t.true(isEachSlotOnce(await readAll(clock, two)));
+  t.true(hasEachSlotOnce(await readAll(clock, two)));
 });
 
-// Some samples take forty seconds where the others take a tenth of one, and the trainer idles.
+// Two samples take 40 s each while the others take 0.1 s, so the trainer would wait for them.
 test('stragglers are covered by late copies within the budget', async (t) => {
   const { clock, newHost } = newBench();
   const one = newHost('one', 'argos-c');
--- a/scripts/naive.js
+++ b/scripts/naive.js
@@ -104,7 +104,7 @@
   [
     'nobody looks at bound samples again',
     'packages/rollouts/dist/src/newSampleReader.js',
-    'await releaseUnfit(trainer, step);',
+    'await releaseStaleAndLost(trainer, step);',
     '',
     'packages/rollouts',
     '*lost both copies*',
@@ -112,7 +112,7 @@
   [
     'stragglers are waited for',
     'packages/rollouts/dist/src/newStepRunner.js',
-    'coverStragglers(open, slots);',
+    'startLateCopies(unbound, slots);',
     '',
     'packages/rollouts',
     '*stragglers are covered*',
@@ -120,7 +120,7 @@
   [
     'samples are kept on one host',
     'packages/rollouts/dist/src/newPayloadCopies.js',
-    'const copy = await copyToOne(payloadDigest, payload);',
+    'const copy = await copyToOnePeer(payloadDigest, payload);',
     'const copy = null;',
     'packages/rollouts',
     '*killed process loses no bound*',
