--- a/packages/platform/src/UpstreamOrders.ts
+++ b/packages/platform/src/UpstreamOrders.ts
@@ -5,12 +5,14 @@
 
 /** The platform's interface for starting and stopping upstreams, one failure domain at a time. */
 export default abstract class UpstreamOrders {
-  /** Reads what the platform runs in a failure domain now, without the host list's lag. */
+  /**
+   * Reads the upstreams that the platform runs in a failure domain, without the host list's lag.
+   */
   abstract read(failureDomain: string): Promise<Result<UpstreamStatus[], PlatformFault>>;
 
   /**
-   * Orders an absolute number, so that the same order twice starts nothing twice.
-   * @param isStillHeld asked again in the moment of writing; without its yes nothing is ordered
+   * Orders an absolute number of upstreams, so that repeating an order starts no additional ones.
+   * @param isStillHeld checked again when the order is written; if false, nothing is ordered
    */
   abstract place(
     order: UpstreamOrder,
--- a/packages/platform/src/logRecord.ts
+++ b/packages/platform/src/logRecord.ts
@@ -1,9 +1,9 @@
 import { z } from 'zod';
 
-/** A record as the log keeps it. The body is opaque to the platform. */
+/** A record of the log. The body is opaque to the platform. */
 export const logRecordSchema = z.object({
   offset: z.int(),
-  /** When the log took it, in milliseconds since the epoch by the log's own clock. */
+  /** Time of the append by the log's own clock, in milliseconds since the epoch. */
   at: z.number(),
   body: z.string(),
 });
@@ -14,7 +14,7 @@
   records: z.array(logRecordSchema),
   /** The offset after the last record in the log. */
   end: z.int(),
-  /** The oldest offset the log still keeps. */
+  /** The oldest offset that the log still retains. */
   first: z.int(),
 });
 
--- a/packages/platform/src/newHttpCaller.ts
+++ b/packages/platform/src/newHttpCaller.ts
@@ -15,19 +15,20 @@
   'EHOSTUNREACH',
 ]);
 
-const bodyOf = (body: unknown): string | null => (body === undefined ? null : JSON.stringify(body));
+const serializeBody = (body: unknown): string | null =>
+  body === undefined ? null : JSON.stringify(body);
 
-const faultOf = (error: unknown): PlatformFault => {
+const toPlatformFault = (error: unknown): PlatformFault => {
   const { code } = error as { code?: string };
   return code && NOT_SENT_CODES.has(code) ? 'not-sent' : 'unknown';
 };
 
 /**
- * JSON calls to one service, each under a timeout.
+ * JSON calls to one service, each with a timeout.
  *
- * Something between the two ends can lose track of an open connection: it then takes bytes and
- * never answers, while new connections work. A call that runs into its timeout aborts its request,
- * which destroys the socket, so the next call opens a fresh one.
+ * A middlebox can lose the state of an open connection, which then accepts bytes but never answers,
+ * while new connections work. A call that times out aborts its request, which destroys the socket,
+ * so that the next call opens a new connection.
  */
 const newHttpCaller = (baseUrl: string, timeoutMs: number) => {
   const sockets = new Set<Socket>();
@@ -68,7 +69,7 @@
       const restored = restore(schema, raw);
       return restored.ok ? Ok(restored.val) : Err('unknown');
     } catch (error) {
-      return Err(faultOf(error));
+      return Err(toPlatformFault(error));
     }
   };
 
@@ -84,18 +85,19 @@
       method,
       path,
       schema,
-      bodyOf(body),
+      serializeBody(body),
       signal ? AbortSignal.any([signal, timeout]) : timeout,
     );
   };
 
   /**
-   * Gives an order that only the holder of a lease may give.
+   * Sends an order that only the holder of a lease may send.
    *
-   * The process can be frozen, or its connection can take its time, between the decision to send
-   * and the sending; bytes already handed to the system can arrive after a successor's order. So the
-   * guard is asked again at the moment in which the body is written: without a body the order has no
-   * effect. And at a timeout the connection is reset, not closed, which drops what is still unsent.
+   * The process can be frozen, or opening its connection can be slow, between the decision to send
+   * and the actual write, and bytes in the socket's send buffer can arrive after a successor's
+   * order. So the guard is checked again when the body is written, since an order without a body
+   * has no effect. On a timeout the connection is reset instead of closed, which discards unsent
+   * bytes.
    */
   const order = async <T>(
     path: string,
@@ -106,12 +108,12 @@
     const timeout = AbortSignal.timeout(timeoutMs);
     timeout.addEventListener('abort', () => sockets.forEach((socket) => socket.resetAndDestroy()));
     let isWritten = false;
-    const write = function* guardedBody(): Generator<string> {
+    const guardedWrite = function* guardedBody(): Generator<string> {
       if (!isStillHeld()) throw new Error('the lease has ended');
       isWritten = true;
       yield JSON.stringify(body);
     };
-    const answer = await send('POST', path, schema, Readable.from(write()), timeout);
+    const answer = await send('POST', path, schema, Readable.from(guardedWrite()), timeout);
     return !answer.ok && !isWritten ? Err('not-sent') : answer;
   };
 
--- a/packages/platform/src/newHttpHostList.ts
+++ b/packages/platform/src/newHttpHostList.ts
@@ -7,7 +7,7 @@
 
 const TIMEOUT_MS = 2_000;
 
-/** The platform's host list over HTTP. */
+/** Client of the platform's host list over HTTP. */
 const newHttpHostList = (url: string): HostList => {
   const caller = newHttpCaller(url, TIMEOUT_MS);
 
--- a/packages/platform/src/newHttpPlatformLog.ts
+++ b/packages/platform/src/newHttpPlatformLog.ts
@@ -8,23 +8,29 @@
 import PlatformLog from './PlatformLog.js';
 
 const TIMEOUT_MS = 4_000;
-/** How long the log holds a read open when it has nothing newer; well under the timeout. */
-const WAIT_MS = 2_000;
+/** How long the log may delay a read without newer records; must be well below the timeout. */
+const LONG_POLL_MS = 2_000;
 
-const appendedSchema = z.object({ offset: z.int() });
+const appendAnswerSchema = z.object({ offset: z.int() });
 
-/** The platform's log over HTTP. */
+/** Client of the platform's log over HTTP. */
 const newHttpPlatformLog = (url: string): PlatformLog => {
   const caller = newHttpCaller(url, TIMEOUT_MS);
 
   class HttpPlatformLog extends PlatformLog {
     async append(bodies: string[], signal?: AbortSignal): Promise<Result<number, PlatformFault>> {
-      const answer = await caller.call('POST', '/log/append', appendedSchema, { bodies }, signal);
+      const answer = await caller.call(
+        'POST',
+        '/log/append',
+        appendAnswerSchema,
+        { bodies },
+        signal,
+      );
       return answer.ok ? Ok(answer.val.offset) : answer;
     }
 
     read(from: number, signal?: AbortSignal): Promise<Result<LogPage, PlatformFault>> {
-      const path = `/log/read?from=${from}&waitMs=${WAIT_MS}`;
+      const path = `/log/read?from=${from}&waitMs=${LONG_POLL_MS}`;
       return caller.call('GET', path, logPageSchema, undefined, signal);
     }
   }
--- a/packages/platform/src/newHttpUpstreamOrders.ts
+++ b/packages/platform/src/newHttpUpstreamOrders.ts
@@ -7,12 +7,12 @@
 import { upstreamStatusSchema } from './upstreamStatus.js';
 import type { UpstreamStatus } from './upstreamStatus.js';
 
-/** An order's answer must be in by then; a lease must have more than this left when it is sent. */
+/** Timeout for the answer to an order. The lease must outlast it when the order is sent. */
 export const ORDER_TIMEOUT_MS = 1_500;
 
 const statusesSchema = z.array(upstreamStatusSchema);
 
-/** The platform's order interface over HTTP. */
+/** Client of the platform's order interface over HTTP. */
 export const newHttpUpstreamOrders = (url: string): UpstreamOrders => {
   const caller = newHttpCaller(url, ORDER_TIMEOUT_MS);
 
--- a/packages/platform/src/newHttpUsageReports.ts
+++ b/packages/platform/src/newHttpUsageReports.ts
@@ -6,10 +6,10 @@
 import type { UsageReport } from './usageReport.js';
 import UsageReports from './UsageReports.js';
 
-/** A report's answer must be in by then. */
+/** Timeout for the answer to a report. */
 export const REPORT_TIMEOUT_MS = 1_500;
 
-/** The platform's report interface over HTTP. */
+/** Client of the platform's report interface over HTTP. */
 export const newHttpUsageReports = (url: string): UsageReports => {
   const caller = newHttpCaller(url, REPORT_TIMEOUT_MS);
 
--- a/packages/platform/src/platformFault.ts
+++ b/packages/platform/src/platformFault.ts
@@ -1,7 +1,7 @@
 /**
- * Why a call to the platform gave no answer to rely on.
- * - `not-sent`: no connection came about, so it had no effect
- * - `unknown`: it may have had its effect; the answer is lost, late or unreadable
- * - `refused`: the platform answered that it will not
+ * Why a call to the platform gave no usable answer.
+ * - `not-sent`: no connection could be opened, so the call had no effect
+ * - `unknown`: the call may have taken effect; the answer is lost, late or could not be parsed
+ * - `refused`: the platform refused the call
  */
 export type PlatformFault = 'not-sent' | 'unknown' | 'refused';
--- a/packages/platform/src/upstreamOrder.ts
+++ b/packages/platform/src/upstreamOrder.ts
@@ -7,7 +7,7 @@
   service: z.string(),
   kind: upstreamKindSchema,
   wanted: z.int().min(0),
-  /** Number of the lease under which it is sent; the platform refuses lower ones. */
+  /** Fencing token of the sender's lease; the platform refuses lower tokens. */
   fence: z.int(),
 });
 
--- a/packages/platform/src/upstreamStatus.ts
+++ b/packages/platform/src/upstreamStatus.ts
@@ -3,7 +3,7 @@
 
 export const upstreamStateSchema = z.enum(['starting', 'live', 'leaving']);
 
-/** An upstream as the platform lists it, with a lag. */
+/** An upstream in the list of the platform, which lags. */
 export const upstreamStatusSchema = z.object({
   id: z.string(),
   service: z.string(),
@@ -11,7 +11,7 @@
   kind: upstreamKindSchema,
   url: z.string(),
   state: upstreamStateSchema,
-  /** The platform takes it back on its own account, with seconds' notice. */
+  /** Whether the platform is reclaiming the upstream, with a notice of seconds. */
   reclaimed: z.boolean().default(false),
 });
 
--- a/packages/platform/src/usageReport.ts
+++ b/packages/platform/src/usageReport.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** What one customer used in one window. */
+/** Usage of one customer in one window. */
 export const usageFigureSchema = z.object({
   requests: z.int().min(0),
   promptTokens: z.int().min(0),
@@ -9,7 +9,7 @@
 
 export type UsageFigure = z.infer<typeof usageFigureSchema>;
 
-/** A window's figures by customer, as billed. */
+/** The billed usage of a window by customer. */
 export const usageReportSchema = z.object({
   /** Start of the window, in milliseconds since the epoch. */
   window: z.int(),
--- a/packages/platform/tests/newHttpCaller.test.ts
+++ b/packages/platform/tests/newHttpCaller.test.ts
@@ -7,7 +7,7 @@
 
 const TIMEOUT_MS = 400;
 
-/** A platform that notes the whole bodies it was sent. */
+/** A platform that records the complete bodies it receives. */
 const startPlatform = async () => {
   const bodies: string[] = [];
   const server = createServer((request, response) => {
@@ -26,18 +26,18 @@
   return { bodies, url: `http://127.0.0.1:${port}`, close: () => server.close() };
 };
 
-// The lease ends after the order was decided, while its connection is still being opened. The naive way
-// sends it all the same, beside the successor's.
-test('an order whose lease ends before it is written is never sent whole', async (t) => {
+// The lease ends after the decision to send an order, while the connection is still being opened.
+// Without a second check, the order would compete with the successor's.
+test('an order whose lease ends before it is written is never sent completely', async (t) => {
   const platform = await startPlatform();
   t.teardown(platform.close);
   const caller = newHttpCaller(platform.url, TIMEOUT_MS);
-  let asked = 0;
+  let checks = 0;
   const answer = await caller.order('/orders', z.unknown(), { wanted: 6 }, () => {
-    asked += 1;
+    checks += 1;
     return false;
   });
-  t.is(asked, 1);
+  t.is(checks, 1);
   t.deepEqual(answer.ok ? null : answer.val, 'not-sent');
   t.deepEqual(platform.bodies, []);
   const held = await caller.order('/orders', z.unknown(), { wanted: 6 }, () => true);
@@ -46,15 +46,15 @@
   await caller.close();
 });
 
-// The platform takes the connection and says nothing. Closed in the ordinary way, what is still in the
-// send buffer would arrive after the successor's order.
+// The platform accepts the connection but never answers. If the connection were closed normally,
+// the bytes in the send buffer could arrive after the successor's order.
 test('an order that runs into its timeout resets its connection', async (t) => {
-  const seen: Promise<string>[] = [];
+  const closings: Promise<string>[] = [];
   const server = createTcpServer((socket: Socket) => {
-    seen.push(
+    closings.push(
       new Promise((resolve) => {
         socket.on('error', (error: NodeJS.ErrnoException) => resolve(error.code ?? ''));
-        socket.on('end', () => resolve('closed in good order'));
+        socket.on('end', () => resolve('closed normally'));
       }),
     );
     socket.resume();
@@ -69,11 +69,11 @@
   );
   const answer = await caller.order('/orders', z.unknown(), { wanted: 6 }, () => true);
   t.is(answer.ok ? '' : answer.val, 'unknown');
-  t.is(await seen[0], 'ECONNRESET');
+  t.is(await closings[0], 'ECONNRESET');
   await caller.close();
 });
 
-test('a call that found nobody is told apart from one that may have had its effect', async (t) => {
+test('a refused connection is reported as not-sent, not as a call of unknown effect', async (t) => {
   const platform = await startPlatform();
   platform.close();
   const caller = newHttpCaller(platform.url, TIMEOUT_MS);
