--- a/scripts/naive.js
+++ b/scripts/naive.js
@@ -67,7 +67,7 @@
     'if (delta.sequence <= counted)',
     'if (false)',
     'packages/usage',
-    '*by its keeper counts once*',
+    '*on its behalf by a peer is counted once*',
   ],
   [
     'usage stands in one memory alone',
@@ -80,7 +80,7 @@
   [
     'late usage waits for other usage',
     'packages/usage/dist/src/reportUsage.js',
-    'Object.keys(late).length > 0 ? lastEnded() : undefined',
+    'Object.keys(late).length > 0 ? lastClosableWindow() : undefined',
     'undefined',
     'packages/usage',
     '*no other usage follows*',
@@ -104,7 +104,7 @@
   [
     'nobody looks at bound samples again',
     'packages/rollouts/dist/src/newSampleReader.js',
-    'await releaseUnfit(trainer, step);',
+    'await releaseStaleAndLost(trainer, step);',
     '',
     'packages/rollouts',
     '*lost both copies*',
@@ -112,7 +112,7 @@
   [
     'stragglers are waited for',
     'packages/rollouts/dist/src/newStepRunner.js',
-    'coverStragglers(open, slots);',
+    'startLateCopies(unbound, slots);',
     '',
     'packages/rollouts',
     '*stragglers are covered*',
@@ -120,7 +120,7 @@
   [
     'samples are kept on one host',
     'packages/rollouts/dist/src/newPayloadCopies.js',
-    'const copy = await copyToOne(payloadDigest, payload);',
+    'const copy = await copyToOnePeer(payloadDigest, payload);',
     'const copy = null;',
     'packages/rollouts',
     '*killed process loses no bound*',
