--- a/packages/engines/src/BrokenAnswer.ts
+++ b/packages/engines/src/BrokenAnswer.ts
@@ -1,2 +1,2 @@
-/** Thrown by an answer's body when it ends before it is whole. */
+/** Thrown while reading an answer's body if the body ends before it is complete. */
 export default class BrokenAnswer extends Error {}
--- a/packages/engines/src/UpstreamClient.ts
+++ b/packages/engines/src/UpstreamClient.ts
@@ -1,70 +1,70 @@
 import type { UpstreamEntry } from './upstreamEntry.js';
 import type { ReportedLoad } from './newLoads.js';
 
-/** A request as it goes to an upstream. */
+/** A request as it is sent to an upstream. */
 export interface UpstreamRequest {
   requestId: string;
   method: string;
-  /** Path and query, unchanged. */
+  /** Path and query string, unchanged. */
   path: string;
-  /** The name that the caller asked for. */
+  /** Host name that the caller addressed. */
   hostName: string;
-  /** The caller's headers that go on. */
+  /** The caller's headers that are forwarded. */
   headers: Record<string, string>;
   body: Buffer;
-  /** Rank among requests at a model engine, 0 first; null to leave it to the upstream. */
+  /** Scheduling priority at a model engine, 0 is the highest; null lets the upstream decide. */
   priority?: number | null;
-  /** Name of the customer, where the settings have customers and the route is not public. */
+  /** Name of the customer; null if the settings define no customers or the route is public. */
   customer: string | null;
-  /** On the monotonic clock; the upstream is told what is left. Null for none. */
+  /** On the monotonic clock; the upstream receives the remaining time. Null for none. */
   deadline: number | null;
-  /** Number of the last event that is already there; the upstream goes on after it. */
+  /** Id of the last event that was received; the upstream resumes after it. */
   lastEventId: string | null;
-  /** It may run once at most, so it is never sent on a connection that may be dead already. */
+  /** The request may run at most once, so it is never sent on a connection that may be dead. */
   mustNotRepeat?: boolean;
 }
 
-/** The head of an upstream's answer. */
+/** An upstream's answer: status and headers, with the body as a stream. */
 export interface UpstreamAnswer {
   status: number;
-  /** Headers that go back to the caller, as the upstream wrote them. */
+  /** Headers that are forwarded to the caller, as the upstream sent them. */
   headers: Record<string, string>;
-  /** The upstream's signature of its answer; null where it gave none. */
+  /** The upstream's signature of its answer; null if the answer is unsigned. */
   signature: string | null;
   load: ReportedLoad | null;
-  /** Version of the weights at the first token; null where none was named. */
+  /** Version of the weights at the first token; null if the upstream reported none. */
   version: number | null;
   isEventStream: boolean;
   body: AsyncIterable<Buffer>;
 }
 
-/** Why there is no answer. */
+/** Why a request got no answer. */
 export type UpstreamFault =
-  /** Nothing ran: the upstream said so, or it was never reached. */
+  /** The request has not run: the upstream reported so, or it was never reached. */
   | { type: 'not-run'; reason: string; isUnreachable: boolean; load: ReportedLoad | null }
-  /** It may have run. */
+  /** The request may have run. */
   | { type: 'unknown'; reason: string };
 
 export type UpstreamOutcome =
   { type: 'answer'; answer: UpstreamAnswer } | { type: 'fault'; fault: UpstreamFault };
 
-/** Speaks to upstreams. */
+/** Sends requests to upstreams. */
 export default abstract class UpstreamClient {
   /**
-   * Sends one request to one upstream, which must be the run that `entry` names.
-   * @param firstByteBy monotonic time by which the head of the answer must be there
-   * @param signal ends the request; the upstream notices by its closed connection
+   * Sends a request to the incarnation of an upstream that `entry` describes.
+   * @param firstByteDeadline monotonic time by which the head of the answer must have arrived
+   * @param signal aborts the request by closing its connection, which the upstream detects
    */
   abstract send(
     entry: UpstreamEntry,
     request: UpstreamRequest,
-    firstByteBy: number,
+    firstByteDeadline: number,
     signal: AbortSignal,
   ): Promise<UpstreamOutcome>;
 
-  /** Whether a request to the upstream needs no new connection. */
+  /** Whether a connection to the upstream is open and can take a request. */
   abstract isConnected(entry: UpstreamEntry): boolean;
 
-  /** Closes what is open to an upstream that is gone. */
+  /** Closes all connections to an upstream that has been removed. */
   abstract forget(entry: UpstreamEntry): void;
 }
--- a/packages/engines/src/WeightOrders.ts
+++ b/packages/engines/src/WeightOrders.ts
@@ -1,13 +1,13 @@
 import type { UpstreamEntry } from './upstreamEntry.js';
 
-/** An engine is to load a version of a model's weights. */
+/** An order for an engine to load a version of a model's weights. */
 export interface WeightOrder {
   entry: UpstreamEntry;
   model: string;
   version: number;
-  /** Orders that the engine had accepted when this one was decided; it refuses at another count. */
+  /** Orders the engine had accepted when this one was decided; refused at any other count. */
   afterOrders: number;
-  /** Runs finish under the old version before the load, instead of going on under the new one. */
+  /** Runs in progress finish on the old version before the load, not switch to the new one. */
   mustWaitForRuns: boolean;
   holder: string;
   fencingToken: number;
@@ -15,19 +15,19 @@
 
 export type WeightOrderOutcome =
   | 'accepted'
-  /** The engine holds that version already. */
+  /** The engine already holds that version. */
   | 'holds'
-  /** Another order is under way, or the engine has accepted one since. */
+  /** Another order is being carried out, or the engine has accepted one in the meantime. */
   | 'conflict'
   | 'refused'
-  /** Not answered: it may be carried out, also seconds later. */
+  /** No answer: the order may still be carried out, even seconds later. */
   | 'unknown';
 
-/** Gives engines orders to load weights. */
+/** Sends engines orders to load weights. */
 export default abstract class WeightOrders {
-  /** How many orders an engine has accepted since its start; null when it does not say. */
+  /** Number of orders an engine has accepted since its start; null if it could not be read. */
   abstract countAccepted(entry: UpstreamEntry, signal: AbortSignal): Promise<number | null>;
 
-  /** @param signal ends the call, and resets its connection so that unsent bytes are dropped */
+  /** @param signal aborts the call and resets its connection, so that unsent bytes are dropped */
   abstract place(order: WeightOrder, signal: AbortSignal): Promise<WeightOrderOutcome>;
 }
--- a/packages/engines/src/findDueLoads.ts
+++ b/packages/engines/src/findDueLoads.ts
@@ -1,35 +1,37 @@
 import type { DueLoad } from './loadWeights.js';
-import planHomes from './planHomes.js';
+import assignEngines from './assignEngines.js';
 import { versionOf } from './upstreamEntry.js';
 import type { UpstreamEntry } from './upstreamEntry.js';
 
 /**
- * An engine waits so long for the one before it: a load of 0.9 s, up to 1.2 s until the engine's
- * entry shows it, and the order itself. Longer, and that engine is cut off or lost.
+ * Time after which the next engine may load even if the previous one has not: a load takes 0.9 s,
+ * the engine's entry shows it up to 1.2 s later, and the order itself takes time. An engine that
+ * needs longer is unreachable or lost.
  */
-const TURN_MS = 2_600;
-/** Engines of one model that take their turn together: the others serve meanwhile. */
-const TURN_PART = 1 / 3;
+const LOAD_TURN_MS = 2_600;
+/** Fraction of a model's engines that load concurrently while the others keep serving. */
+const CONCURRENT_LOAD_FRACTION = 1 / 3;
 
-/** A model's newest version as its trainer named it. */
+/** A model's newest version as announced by its trainer. */
 export interface NewestVersion {
   model: string;
   version: number;
-  /** When this host learned of it, on the monotonic clock. */
+  /** When this host learned of the version, on the monotonic clock. */
   learnedAt: number;
 }
 
 /**
- * Loads that are due now, of all failure domains.
+ * Finds the loads that are due now, in all failure domains.
  *
- * An engine refuses new requests for a model while it loads it. Were all of a model's engines to
- * load at once, its items would wait for a second. So they take turns in an order that every host
- * works out alike: a third of them loads once those before have, or have had their time.
+ * An engine refuses new requests for a model while it loads the model's weights. If all engines of
+ * a model loaded at once, its items would wait for a second. The engines therefore load in an order
+ * that every host derives identically: a third of them at a time, each group once the previous one
+ * has loaded or its time has passed.
  *
- * One at a time is not enough where a model has many engines: versions come faster than turns, and
- * most engines fall so far behind that no step may use them; a step of a hundred items then runs on
- * three of thirty engines. An engine that is further behind than the model's steps allow serves
- * nothing that it could withhold, so it waits for no turn.
+ * Loading one engine at a time is too slow for a model with many engines: versions arrive faster
+ * than engines load, and most engines fall so far behind that no step may use them. A step of a
+ * hundred items then runs on three of thirty engines. An engine that is further behind than the
+ * model's steps allow cannot serve any of them, so it loads at once.
  *
  * @param allowedLag versions by which an engine may be behind and still serve a model's steps
  */
@@ -40,22 +42,22 @@
   allowedLag: (model: string) => number,
 ): Omit<DueLoad, 'mustWaitForRuns'>[] => {
   const usable = engines.filter(({ isDraining }) => !isDraining);
-  const homes = planHomes(
+  const assignments = assignEngines(
     newest.map(({ model }) => model),
     usable.map(({ id }) => id),
   );
   return newest.flatMap(({ model, version, learnedAt }) => {
-    const ids = [...(homes.get(model) ?? [])];
-    const turns = ids.flatMap((id) => usable.filter((entry) => entry.id === id));
-    const behind = turns.filter((entry) => versionOf(entry, model) < version);
-    // Each further engine has its turn a turn's time later, if those before it do not get done.
-    const turn = Math.max(1, Math.floor(turns.length * TURN_PART));
-    const dueCount = turn * (1 + Math.floor((now - learnedAt) / TURN_MS));
-    const isUseless = (entry: UpstreamEntry): boolean =>
+    const ids = [...(assignments.get(model) ?? [])];
+    const loadOrder = ids.flatMap((id) => usable.filter((entry) => entry.id === id));
+    const outdated = loadOrder.filter((entry) => versionOf(entry, model) < version);
+    // Each time a turn passes, a further group may load, even if earlier groups have not finished.
+    const groupSize = Math.max(1, Math.floor(loadOrder.length * CONCURRENT_LOAD_FRACTION));
+    const dueCount = groupSize * (1 + Math.floor((now - learnedAt) / LOAD_TURN_MS));
+    const isTooOldToServe = (entry: UpstreamEntry): boolean =>
       version - versionOf(entry, model) > allowedLag(model);
-    const useless = behind.filter(isUseless);
-    const inTurn = behind.filter((entry) => !isUseless(entry)).slice(0, dueCount);
-    return [...useless, ...inTurn].map((entry) => ({ entry, model, version }));
+    const unusable = outdated.filter(isTooOldToServe);
+    const inTurn = outdated.filter((entry) => !isTooOldToServe(entry)).slice(0, dueCount);
+    return [...unusable, ...inTurn].map((entry) => ({ entry, model, version }));
   });
 };
 
--- a/packages/engines/src/loadWeights.ts
+++ b/packages/engines/src/loadWeights.ts
@@ -4,16 +4,19 @@
 import { runOf, versionOf } from './upstreamEntry.js';
 import type WeightOrders from './WeightOrders.js';
 
-const CHECK_EVERY_MS = 100;
-/** Without the lease there is nothing to do but to see whether it has come. */
-const IDLE_CHECK_MS = 300;
+const CHECK_INTERVAL_MS = 100;
+/** Used while this host does not hold the lease and only checks whether it has acquired it. */
+const IDLE_CHECK_INTERVAL_MS = 300;
 const ORDER_TIMEOUT_MS = 700;
-/** A load takes 0.9 s, longer while many load; the engine's entry shows it some 1.2 s later. */
-const LOADING_MS = 2_200;
-/** After an order without an answer: it may be carried out up to 12 s later, but mostly never. */
-const UNKNOWN_MS = 1_500;
+/** A load takes 0.9 s, more while many engines load; the engine's entry shows it 1.2 s later. */
+const LOAD_TIMEOUT_MS = 2_200;
+/**
+ * Delay before a new order after one that got no answer, which may be carried out up to 12 s later
+ * but usually never is.
+ */
+const UNKNOWN_OUTCOME_DELAY_MS = 1_500;
 
-/** An engine that lacks the newest version of a model that it is to keep. */
+/** An engine that lacks the newest version of a model that is assigned to it. */
 export interface DueLoad {
   entry: UpstreamEntry;
   model: string;
@@ -26,61 +29,67 @@
   log: EventLog;
   host: string;
   orders: WeightOrders;
-  /** The lease for the engines of this host's failure domain; what must be left of it, in ms. */
+  /**
+   * The lease for the engines of this host's failure domain, or null unless this host holds it for
+   * at least `reserveMs` more.
+   */
   hold: (reserveMs: number) => { token: number } | null;
-  /** Loads that are due, the most urgent first. */
+  /** Loads that are due, most urgent first. */
   findDue: () => DueLoad[];
+  /** The current entry of an engine. */
   find: (id: string) => UpstreamEntry | undefined;
-  /** Engines of this failure domain that may load at the same time. */
+  /** Maximum number of engines of this failure domain that may load at the same time. */
   mostAtOnce: () => number;
 }
 
-interface UnderWay {
+interface PendingLoad {
   model: string;
   version: number;
   deadline: number;
 }
 
 /**
- * Orders engines to load the newest weights, one after the other, while this host holds the lease.
+ * Orders engines to load the newest weights while this host holds the lease, up to `mostAtOnce` at
+ * a time.
  *
- * Engines may not check who orders, and an order whose answer was lost can be carried out seconds
- * later, over a newer one. So each order names how many orders the engine had accepted when it was
- * decided: once a newer one is accepted, the late one is refused.
+ * Engines may not check the fencing token, and an order whose answer was lost can be carried out
+ * seconds later, after a newer one. Each order therefore carries the number of orders that the
+ * engine had accepted when the order was decided: once a newer order is accepted, the late one is
+ * refused.
  */
 const loadWeights = async (options: LoadWeightsOptions, signal: AbortSignal): Promise<void> => {
   const { clock, log, host, orders, hold, findDue, find, mostAtOnce } = options;
-  const underWay = new Map<string, UnderWay>();
-  const accepted = new Map<string, number>();
+  const pendingLoads = new Map<string, PendingLoad>();
+  const acceptedCounts = new Map<string, number>();
 
-  const isOver = (id: string, load: UnderWay): boolean => {
+  const isFinished = (id: string, load: PendingLoad): boolean => {
     const entry = find(id);
-    const isDone = entry !== undefined && versionOf(entry, load.model) >= load.version;
-    return !entry || isDone || clock.now() >= load.deadline;
+    const isLoaded = entry !== undefined && versionOf(entry, load.model) >= load.version;
+    return !entry || isLoaded || clock.now() >= load.deadline;
   };
 
-  const dropOver = (): void =>
-    underWay.forEach((load, id) => {
-      if (isOver(id, load)) underWay.delete(id);
+  const removeFinished = (): void =>
+    pendingLoads.forEach((load, id) => {
+      if (isFinished(id, load)) pendingLoads.delete(id);
     });
 
-  /** Asks the engine where this holder has not ordered yet; its report lags by some 100 ms. */
-  const ordersOf = async (entry: UpstreamEntry): Promise<number | null> =>
-    accepted.get(runOf(entry)) ??
+  /** Asks the engine only if no count is cached, since its report lags by about 100 ms. */
+  const countAcceptedOrders = async (entry: UpstreamEntry): Promise<number | null> =>
+    acceptedCounts.get(runOf(entry)) ??
     orders.countAccepted(entry, AbortSignal.timeout(ORDER_TIMEOUT_MS));
 
   const place = async (due: DueLoad): Promise<void> => {
     const { entry, model, version, mustWaitForRuns } = due;
-    const load = { model, version, deadline: clock.now() + LOADING_MS };
-    underWay.set(entry.id, load);
-    const afterOrders = await ordersOf(entry);
-    const held = hold(ORDER_TIMEOUT_MS);
-    if (afterOrders === null || !held) {
-      log.warn('weights.not-ordered', { upstream: entry.id, model, isHeld: held !== null });
-      load.deadline = clock.now() + UNKNOWN_MS / 2;
+    const load = { model, version, deadline: clock.now() + LOAD_TIMEOUT_MS };
+    pendingLoads.set(entry.id, load);
+    const afterOrders = await countAcceptedOrders(entry);
+    const lease = hold(ORDER_TIMEOUT_MS);
+    if (afterOrders === null || !lease) {
+      log.warn('weights.not-ordered', { upstream: entry.id, model, isHeld: lease !== null });
+      load.deadline = clock.now() + UNKNOWN_OUTCOME_DELAY_MS / 2;
       return;
     }
-    const { token } = held;
+    const { token } = lease;
     const outcome = await orders.place(
       { entry, model, version, mustWaitForRuns, afterOrders, holder: host, fencingToken: token },
       AbortSignal.timeout(ORDER_TIMEOUT_MS),
@@ -94,31 +103,33 @@
       outcome,
     });
     if (outcome === 'accepted') {
-      accepted.set(runOf(entry), afterOrders + 1);
+      acceptedCounts.set(runOf(entry), afterOrders + 1);
       return;
     }
-    // Our count may be wrong after all else: the engine is asked again.
-    accepted.delete(runOf(entry));
-    load.deadline = clock.now() + (outcome === 'conflict' ? UNKNOWN_MS / 3 : UNKNOWN_MS);
+    // After any other outcome the cached count may be wrong, so the engine is asked again.
+    acceptedCounts.delete(runOf(entry));
+    load.deadline =
+      clock.now() +
+      (outcome === 'conflict' ? UNKNOWN_OUTCOME_DELAY_MS / 3 : UNKNOWN_OUTCOME_DELAY_MS);
   };
 
   const startDue = (): void => {
     if (!hold(2 * ORDER_TIMEOUT_MS)) {
-      accepted.clear();
+      acceptedCounts.clear();
       return;
     }
     findDue()
-      .filter(({ entry }) => !underWay.has(entry.id))
-      .slice(0, Math.max(0, mostAtOnce() - underWay.size))
+      .filter(({ entry }) => !pendingLoads.has(entry.id))
+      .slice(0, Math.max(0, mostAtOnce() - pendingLoads.size))
       .forEach((due) => {
-        if (!underWay.has(due.entry.id)) place(due);
+        if (!pendingLoads.has(due.entry.id)) place(due);
       });
   };
 
   while (!signal.aborted) {
-    dropOver();
+    removeFinished();
     startDue();
-    const pauseMs = hold(0) ? CHECK_EVERY_MS : IDLE_CHECK_MS;
+    const pauseMs = hold(0) ? CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS;
     await clock.sleepUntil(clock.now() + pauseMs, signal);
   }
 };
--- a/packages/engines/src/median.ts
+++ b/packages/engines/src/median.ts
@@ -1,4 +1,4 @@
-/** The middle one of some values, the lower of two; null where there is none. */
+/** The median, or the lower of the two middle values; null if there are no values. */
 const median = (values: number[]): number | null => {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? null;
--- a/packages/engines/src/mostLoadsAtOnce.ts
+++ b/packages/engines/src/mostLoadsAtOnce.ts
@@ -1,13 +1,14 @@
-/** The weight store's bandwidth is made for about a third of all engines. */
-const LOADING_PART = 1 / 4;
+/** The weight store's bandwidth suffices for about a third of all engines at a time. */
+const CONCURRENT_LOAD_FRACTION = 1 / 4;
 
 /**
- * Engines of a failure domain that may load weights at the same time: more only take longer, and
- * fewer leave most engines of many behind the versions that are named.
+ * Maximum number of a failure domain's engines that may load weights at the same time. With more,
+ * each load takes longer; with fewer, most engines of a large failure domain lag behind the newest
+ * versions.
  *
- * @param engines of the failure domain
+ * @param engines number of engines in the failure domain
  */
 const mostLoadsAtOnce = (engines: number): number =>
-  Math.max(1, Math.floor(engines * LOADING_PART));
+  Math.max(1, Math.floor(engines * CONCURRENT_LOAD_FRACTION));
 
 export default mostLoadsAtOnce;
--- a/packages/engines/src/newAllowedLags.ts
+++ b/packages/engines/src/newAllowedLags.ts
@@ -1,19 +1,19 @@
-/** A model whose steps have not been seen yet: its engines are kept at the newest version. */
-const UNKNOWN_LAG = 0;
+/** Before the first step of a model is seen, its engines are kept at the newest version. */
+const DEFAULT_ALLOWED_LAG_VERSIONS = 0;
 
 /**
- * By how many versions an engine may be behind and still serve a model's steps, as its newest step
- * shows: trainers bound the age of samples, and some allow more than others.
+ * Tracks how many versions an engine may be behind and still serve a model's steps. The lag is
+ * taken from the model's newest step, since each trainer sets its own bound on the age of samples.
  */
 const newAllowedLags = () => {
   const lags = new Map<string, number>();
 
   return {
-    /** @param newest the newest version that was named when the step came */
+    /** @param newest the newest announced version when the step arrived */
     note: (model: string, newest: number, leastVersion: number): void => {
       lags.set(model, Math.max(0, newest - leastVersion));
     },
-    of: (model: string): number => lags.get(model) ?? UNKNOWN_LAG,
+    of: (model: string): number => lags.get(model) ?? DEFAULT_ALLOWED_LAG_VERSIONS,
   };
 };
 
--- a/packages/engines/src/newDirectory.ts
+++ b/packages/engines/src/newDirectory.ts
@@ -4,40 +4,44 @@
 import type { UpstreamEntry } from './upstreamEntry.js';
 
 /**
- * While the store is away entries lapse though their upstreams live; they are written again within
- * about two seconds of its return. One that is missing after that is gone.
+ * During an outage of the store, entries of live upstreams expire. They are written again within
+ * about 2 s of the store's recovery; an upstream whose entry is still missing after that is
+ * removed.
  */
-const BACK_GRACE_MS = 2_300;
+const STORE_RECOVERY_GRACE_MS = 2_300;
 
-interface Known {
+interface ListedUpstream {
   entry: UpstreamEntry;
-  /** Set when the entry was dropped but may come back. */
-  goneAt: number | null;
+  /** Set if the entry was deleted but may be written again; on the monotonic clock. */
+  expiresAt: number | null;
 }
 
-/** The upstreams that the store lists. */
+/** The upstreams that are listed in the store. */
 const newDirectory = (clock: Clock, log: EventLog) => {
-  const known = new Map<string, Known>();
+  const listed = new Map<string, ListedUpstream>();
   const listeners: ((entry: UpstreamEntry) => void)[] = [];
   let graceUntil = -Infinity;
 
-  const forget = (id: string, reason: string): void => {
-    const found = known.get(id);
+  const removeUpstream = (id: string, reason: string): void => {
+    const found = listed.get(id);
     if (!found) return;
-    known.delete(id);
+    listed.delete(id);
     log.info('upstream.gone', { upstream: id, service: found.entry.service, reason });
     listeners.forEach((listener) => listener(found.entry));
   };
 
-  const dropLapsed = (): void =>
-    [...known].forEach(([id, { goneAt }]) => {
-      if (goneAt !== null && clock.now() >= goneAt) forget(id, 'not back after an outage');
+  const removeExpired = (): void =>
+    [...listed].forEach(([id, { expiresAt }]) => {
+      if (expiresAt !== null && clock.now() >= expiresAt)
+        removeUpstream(id, 'entry not renewed after a store outage');
     });
 
-  const noteChange = (entry: UpstreamEntry, before: UpstreamEntry | undefined): void => {
-    // Not of each new version: on each host that is a line an engine and step, and drowns all others.
-    const isNews = !before || before.isDraining !== entry.isDraining || !isSameRun(before, entry);
-    if (!isNews) return;
+  const logChange = (entry: UpstreamEntry, before: UpstreamEntry | undefined): void => {
+    // A new version is not logged: one line per engine and step on every host would hide all
+    // others.
+    const hasChanged =
+      !before || before.isDraining !== entry.isDraining || !isSameRun(before, entry);
+    if (!hasChanged) return;
     const { id, service, failureDomain, isDraining, isSpot, models } = entry;
     log.info('upstream.listed', {
       upstream: id,
@@ -51,33 +55,33 @@
 
   return {
     put: (entry: UpstreamEntry): void => {
-      const before = known.get(entry.id)?.entry;
-      // A run that ended must not be taken for the one that follows it under the same id.
-      if (before && !isSameRun(before, entry)) forget(entry.id, 'started anew');
-      noteChange(entry, before);
-      known.set(entry.id, { entry, goneAt: null });
+      const before = listed.get(entry.id)?.entry;
+      // A restarted upstream keeps its id, and must not be mistaken for its previous incarnation.
+      if (before && !isSameRun(before, entry)) removeUpstream(entry.id, 'restarted');
+      logChange(entry, before);
+      listed.set(entry.id, { entry, expiresAt: null });
     },
     drop: (id: string): void => {
-      const found = known.get(id);
+      const found = listed.get(id);
       if (!found) return;
-      if (clock.now() >= graceUntil) forget(id, 'entry dropped');
-      else found.goneAt = graceUntil;
+      if (clock.now() >= graceUntil) removeUpstream(id, 'entry deleted');
+      else found.expiresAt = graceUntil;
     },
-    /** The store answers again: what was dropped meanwhile may be back soon. */
+    /** Starts the grace period for entries that expired while the store was unavailable. */
     storeIsBack: (): void => {
-      graceUntil = clock.now() + BACK_GRACE_MS;
+      graceUntil = clock.now() + STORE_RECOVERY_GRACE_MS;
     },
     all: (service: string): UpstreamEntry[] => {
-      dropLapsed();
-      return [...known.values()]
+      removeExpired();
+      return [...listed.values()]
         .map(({ entry }) => entry)
         .filter((entry) => entry.service === service)
         .sort((left, right) => (left.id < right.id ? -1 : 1));
     },
-    /** The newest entry of that run, unless it is gone. */
+    /** The current entry of an upstream; undefined if it is not listed. */
     find: (id: string): UpstreamEntry | undefined => {
-      dropLapsed();
-      return known.get(id)?.entry;
+      removeExpired();
+      return listed.get(id)?.entry;
     },
     onGone: (listener: (entry: UpstreamEntry) => void): void => {
       listeners.push(listener);
--- a/packages/engines/src/newHealth.ts
+++ b/packages/engines/src/newHealth.ts
@@ -2,76 +2,87 @@
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 import median from './median.js';
 
-/** First time out after a failure; doubles with each one in a row. */
-const FIRST_REST_MS = 300;
-/** Long enough to spare callers a dead upstream, short enough to notice that it is back. */
-const LONGEST_REST_MS = 3_000;
-/** Times that tell an upstream's pace: a stream of an engine brings them within a second. */
-const KEPT_TIMES = 15;
-/** Fewer say nothing: one late event would look like a slow upstream. */
-const LEAST_TIMES = 5;
-/** An upstream that was left for being slow is tried again after this. */
-const PACE_LIFE_MS = 8_000;
+/** Back-off after the first failure; doubles with each consecutive one. */
+const INITIAL_BACKOFF_MS = 300;
+/** Long enough to keep requests away from a dead upstream, short enough to detect its recovery. */
+const MAX_BACKOFF_MS = 3_000;
+/** Newest latencies per upstream; one stream of an engine yields this many within a second. */
+const MAX_LATENCY_SAMPLES = 15;
+/** With fewer, a single late event would make the upstream look slow. */
+const MIN_LATENCY_SAMPLES = 5;
+/** A slow upstream that gets no requests is tried again after this time. */
+const LATENCY_TTL_MS = 8_000;
 
-interface Record {
+interface UpstreamHealth {
   failures: number;
-  restUntil: number;
-  /** The newest times of a unit of work, in milliseconds. */
-  times: number[];
-  timesDeadline: number;
+  backoffUntil: number;
+  /** The newest times of a unit of work. */
+  latenciesMs: number[];
+  latenciesExpireAt: number;
 }
 
 /**
- * What this host has seen of each upstream: failures and speed.
+ * Tracks failures and latency of each upstream, as observed by this host.
  *
- * An upstream can fail while it says that it is well, so only its own outcomes count. One that fails
- * rests for a while that grows; a single success ends that. Its pace is the median of its newest
- * times: by an average one pause in one stream made an engine look slow, and hundreds of items a
- * minute were moved away from engines that were well.
+ * An upstream can fail while it reports itself healthy, so only the outcomes of requests count. An
+ * upstream that fails is avoided for a back-off that doubles with each consecutive failure; a
+ * success ends the series. Latency is the median of the newest times: with an average, one pause in
+ * one stream made an engine look slow, and hundreds of items a minute were moved away from healthy
+ * engines.
  */
 const newHealth = (clock: Clock, log: EventLog) => {
-  const records = new Map<string, Record>();
+  const healthById = new Map<string, UpstreamHealth>();
 
-  const recordOf = (id: string): Record => {
-    const found = records.get(id);
+  const getOrCreate = (id: string): UpstreamHealth => {
+    const found = healthById.get(id);
     if (found) return found;
-    const created: Record = {
+    const created: UpstreamHealth = {
       failures: 0,
-      restUntil: -Infinity,
-      times: [],
-      timesDeadline: -Infinity,
+      backoffUntil: -Infinity,
+      latenciesMs: [],
+      latenciesExpireAt: -Infinity,
     };
-    records.set(id, created);
+    healthById.set(id, created);
     return created;
   };
 
   return {
     succeeded: (id: string): void => {
-      recordOf(id).failures = 0;
+      getOrCreate(id).failures = 0;
     },
     failed: (id: string, reason: string): void => {
-      const record = recordOf(id);
-      const restMs = Math.min(LONGEST_REST_MS, FIRST_REST_MS * 2 ** record.failures);
+      const record = getOrCreate(id);
+      const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** record.failures);
       record.failures += 1;
-      record.restUntil = Math.max(record.restUntil, clock.now() + restMs);
-      log.warn('upstream.failed', { upstream: id, reason, failures: record.failures, restMs });
+      record.backoffUntil = Math.max(record.backoffUntil, clock.now() + backoffMs);
+      log.warn('upstream.failed', {
+        upstream: id,
+        reason,
+        failures: record.failures,
+        restMs: backoffMs,
+      });
     },
-    /** @param tookMs time of one unit of work: an event of a stream, or a whole plain call */
-    observe: (id: string, tookMs: number): void => {
-      const record = recordOf(id);
-      const isOld = clock.now() >= record.timesDeadline;
-      record.times = [...(isOld ? [] : record.times), tookMs].slice(-KEPT_TIMES);
-      record.timesDeadline = clock.now() + PACE_LIFE_MS;
+    /**
+     * @param durationMs time of one unit of work: one event of a stream, or a complete plain call
+     */
+    observe: (id: string, durationMs: number): void => {
+      const record = getOrCreate(id);
+      const isExpired = clock.now() >= record.latenciesExpireAt;
+      record.latenciesMs = [...(isExpired ? [] : record.latenciesMs), durationMs].slice(
+        -MAX_LATENCY_SAMPLES,
+      );
+      record.latenciesExpireAt = clock.now() + LATENCY_TTL_MS;
     },
-    isResting: (id: string): boolean => clock.now() < recordOf(id).restUntil,
-    /** Usual time of a unit of work, in milliseconds; null while too little is known. */
+    isResting: (id: string): boolean => clock.now() < getOrCreate(id).backoffUntil,
+    /** Median time of a unit of work, in milliseconds; null with too few samples. */
     pace: (id: string): number | null => {
-      const { times, timesDeadline } = recordOf(id);
-      const isKnown = times.length >= LEAST_TIMES && clock.now() < timesDeadline;
-      return isKnown ? median(times) : null;
+      const { latenciesMs, latenciesExpireAt } = getOrCreate(id);
+      const isReliable =
+        latenciesMs.length >= MIN_LATENCY_SAMPLES && clock.now() < latenciesExpireAt;
+      return isReliable ? median(latenciesMs) : null;
     },
     forget: (id: string): void => {
-      records.delete(id);
+      healthById.delete(id);
     },
   };
 };
--- a/packages/engines/src/newLoads.ts
+++ b/packages/engines/src/newLoads.ts
@@ -1,49 +1,52 @@
 import type Clock from '@cyclamengate/common/Clock';
 
-/** An upstream's own word of its load is worth something for so long. */
-const REPORT_LIFE_MS = 1_000;
+/** Older load reports are stale and ignored. */
+const REPORT_TTL_MS = 1_000;
 
-/** Load as an upstream reports it beside its answers. */
+/** Load as an upstream reports it along with its answers. */
 export interface ReportedLoad {
   running: number;
   waiting: number;
   slots: number;
 }
 
-/** Requests at each upstream: this host's own, exactly, and others' as far as they are known. */
+/** Counts requests at each upstream: this host's exactly, those of other hosts by estimate. */
 const newLoads = (clock: Clock) => {
-  let readOthers = (): ReadonlyMap<string, number> => new Map();
-  const own = new Map<string, number>();
-  const reports = new Map<string, { load: ReportedLoad; ownThen: number; deadline: number }>();
+  let readRemoteLoads = (): ReadonlyMap<string, number> => new Map();
+  const localCounts = new Map<string, number>();
+  const reports = new Map<
+    string,
+    { load: ReportedLoad; localAtReport: number; deadline: number }
+  >();
 
-  const ownOf = (id: string): number => own.get(id) ?? 0;
+  const countLocal = (id: string): number => localCounts.get(id) ?? 0;
 
   return {
     begin: (id: string): void => {
-      own.set(id, ownOf(id) + 1);
+      localCounts.set(id, countLocal(id) + 1);
     },
     end: (id: string): void => {
-      const left = ownOf(id) - 1;
-      if (left > 0) own.set(id, left);
-      else own.delete(id);
+      const left = countLocal(id) - 1;
+      if (left > 0) localCounts.set(id, left);
+      else localCounts.delete(id);
     },
     report: (id: string, load: ReportedLoad): void => {
-      const deadline = clock.now() + REPORT_LIFE_MS;
-      reports.set(id, { load, ownThen: ownOf(id), deadline });
+      const deadline = clock.now() + REPORT_TTL_MS;
+      reports.set(id, { load, localAtReport: countLocal(id), deadline });
     },
-    /** @param read requests that other hosts run at each upstream */
+    /** @param read returns the requests that other hosts run at each upstream */
     countOthers: (read: () => ReadonlyMap<string, number>): void => {
-      readOthers = read;
+      readRemoteLoads = read;
     },
-    own: ownOf,
-    ownAll: (): Record<string, number> => Object.fromEntries(own),
-    /** Requests that the upstream has, as well as can be told. */
+    own: countLocal,
+    ownAll: (): Record<string, number> => Object.fromEntries(localCounts),
+    /** Estimated number of requests at the upstream, from all hosts. */
     at: (id: string): number => {
       const report = reports.get(id);
-      const others = readOthers().get(id) ?? 0;
-      if (!report || report.deadline < clock.now()) return ownOf(id) + others;
-      const foreign = report.load.running + report.load.waiting - report.ownThen;
-      return ownOf(id) + Math.max(others, foreign, 0);
+      const remote = readRemoteLoads().get(id) ?? 0;
+      if (!report || report.deadline < clock.now()) return countLocal(id) + remote;
+      const reportedRemote = report.load.running + report.load.waiting - report.localAtReport;
+      return countLocal(id) + Math.max(remote, reportedRemote, 0);
     },
   };
 };
--- a/packages/engines/src/planScale.ts
+++ b/packages/engines/src/planScale.ts
@@ -1,31 +1,32 @@
 import type { UpstreamEntry } from './upstreamEntry.js';
 
-/** Bounds on the upstreams of a service in each failure domain. */
+/** Bounds on the number of a service's upstreams in each failure domain. */
 export interface ScaleBounds {
   least: number;
   most: number;
 }
 
-/** Upstreams of one failure domain that should run. */
+/** Number of upstreams that should run in one failure domain. */
 export interface WantedUpstreams {
   ordinary: number;
-  /** At the lower price, and reclaimed at a few seconds' notice. */
+  /** Cheaper upstreams that may be reclaimed at a few seconds' notice. */
   spot: number;
 }
 
-/** Part of the slots that may be taken before more are wanted: stragglers leave slots half used. */
-const FULL_PART = 0.9;
+/** Fraction of slots in use above which upstreams are added: stragglers leave slots half used. */
+const TARGET_UTILIZATION = 0.9;
 
 /**
- * How many upstreams a failure domain should run.
+ * Computes how many upstreams a failure domain should run.
  *
- * A step arrives at once, and is whole when its slowest item is: an item that waits for a slot ends
- * later by as much as it waited. So there should be a slot for every item that is open at the peak.
- * What is there at the ordinary price stays, since it is never reclaimed; what is wanted beyond it
- * is taken at the lower price, since items go on elsewhere after their last event. While none is to
- * be had at that price, the ordinary one is paid.
+ * All items of a step arrive together, and the step completes with its slowest item, so the time an
+ * item waits for a slot delays the step. There should be a slot for every item that is open at the
+ * peak. Running ordinary upstreams are kept, since they are never reclaimed. Further ones are spot
+ * upstreams, since items resume elsewhere after their last event; while no spot upstreams are
+ * available, ordinary ones are ordered instead.
  *
- * @param peakItems most items that were open at a time lately, in all failure domains
+ * @param peakItems recent maximum of concurrently open items, in all failure domains
+ * @param domains number of failure domains
  * @param entries upstreams of this failure domain
  */
 const planScale = (
@@ -37,7 +38,7 @@
 ): WantedUpstreams => {
   const usable = entries.filter(({ isDraining }) => !isDraining);
   const slots = Math.max(1, ...entries.map((entry) => entry.slots));
-  const needed = Math.ceil(peakItems / slots / FULL_PART / Math.max(1, domains));
+  const needed = Math.ceil(peakItems / slots / TARGET_UTILIZATION / Math.max(1, domains));
   const wanted = Math.min(most, Math.max(least, needed));
   const ordinary = usable.filter(({ isSpot }) => !isSpot).length;
   const missing = Math.max(0, wanted - ordinary);
--- a/packages/engines/tests/loadWeights.test.ts
+++ b/packages/engines/tests/loadWeights.test.ts
@@ -7,7 +7,7 @@
 import type { WeightOrder, WeightOrderOutcome } from '../src/WeightOrders.js';
 import { newEntry, silentLog } from './helpers.js';
 
-/** Engines that carry orders out at once, lose answers, or carry them out late. */
+/** Engines that carry out orders immediately, or late and without an answer. */
 const newEngines = (entries: UpstreamEntry[]) => {
   const known = new Map(entries.map((entry) => [entry.id, entry]));
   const accepted = new Map<string, number>();
@@ -42,12 +42,12 @@
     faults,
     port: new FakeOrders(),
     find: (id: string) => known.get(id),
-    landLate: (): void => late.splice(0).forEach(carryOut),
+    carryOutLate: (): void => late.splice(0).forEach(carryOut),
     version: (id: string): number => versionOf(known.get(id) as UpstreamEntry, 'x'),
   };
 };
 
-const newParts = (ids: string[]) => {
+const startLoading = (ids: string[]) => {
   const clock = newManualClock();
   const engines = newEngines(
     ids.map((id) => newEntry(id, { models: [{ model: 'x', version: 1 }] })),
@@ -79,23 +79,23 @@
   return { clock, engines, state, end };
 };
 
-test('an order that is carried out seconds late brings no old version back', async (t) => {
-  // An engine leaves an order unanswered and carries it out after a newer one. Its weights would go
-  // back, and samples would be older than their trainer allows.
-  const { clock, engines, state, end } = newParts(['one']);
+test('an order that is carried out seconds late does not restore an old version', async (t) => {
+  // An engine leaves an order unanswered and would carry it out after a newer one. Its weights
+  // would revert, and samples would be older than their trainer allows.
+  const { clock, engines, state, end } = startLoading(['one']);
   engines.faults.late = 1;
   await clock.advance(300);
   state.version = 3;
   await clock.advance(4_000);
   t.is(engines.version('one'), 3);
-  engines.landLate();
+  engines.carryOutLate();
   t.is(engines.version('one'), 3);
   await end();
 });
 
-test('nothing is ordered without the lease', async (t) => {
-  // Another host is in charge. Two hosts that both order would break the engine's order of orders.
-  const { clock, engines, state, end } = newParts(['one']);
+test('no loads are ordered without the lease', async (t) => {
+  // Another host holds the lease. If two hosts ordered loads, their orders would conflict.
+  const { clock, engines, state, end } = startLoading(['one']);
   state.token = null;
   await clock.advance(3_000);
   t.is(engines.orders.length, 0);
@@ -106,7 +106,7 @@
 });
 
 test('engines load one at a time', async (t) => {
-  const { clock, engines, end } = newParts(['one', 'two', 'three']);
+  const { clock, engines, end } = startLoading(['one', 'two', 'three']);
   await clock.advance(50);
   t.is(engines.orders.length, 1);
   await clock.advance(2_000);
--- a/packages/engines/tests/placing.test.ts
+++ b/packages/engines/tests/placing.test.ts
@@ -6,7 +6,7 @@
 import newAllowedLags from '../src/newAllowedLags.js';
 import newDirectory from '../src/newDirectory.js';
 import newHealth from '../src/newHealth.js';
-import planHomes from '../src/planHomes.js';
+import assignEngines from '../src/assignEngines.js';
 import { newEntry, silentLog } from './helpers.js';
 
 const candidate = (id: string, changes: Partial<Candidate> = {}): Candidate => ({
@@ -19,39 +19,39 @@
   ...changes,
 });
 
-const chosen = (candidates: Candidate[]): string | undefined =>
+const chooseId = (candidates: Candidate[]): string | undefined =>
   chooseUpstream(candidates, () => 0)?.entry.id;
 
-test('a request goes to the upstream with the most room', (t) => {
-  t.is(chosen([candidate('a', { load: 5 }), candidate('b', { load: 2 })]), 'b');
+test('a request goes to the upstream with the most free slots', (t) => {
+  t.is(chooseId([candidate('a', { load: 5 }), candidate('b', { load: 2 })]), 'b');
 });
 
-test('a kept connection is used unless another upstream has clearly more room', (t) => {
-  const kept = candidate('kept', { load: 1 });
-  const opened = (load: number): Candidate => candidate('new', { load, isConnected: false });
-  t.is(chosen([kept, opened(1)]), 'kept');
-  t.is(chosen([candidate('kept', { load: 2 }), opened(1)]), 'new');
+test('an open connection is reused unless another upstream has clearly more free slots', (t) => {
+  const connected = candidate('connected', { load: 1 });
+  const other = (load: number): Candidate => candidate('other', { load, isConnected: false });
+  t.is(chooseId([connected, other(1)]), 'connected');
+  t.is(chooseId([candidate('connected', { load: 2 }), other(1)]), 'other');
 });
 
-test('an upstream that has turned slow is passed over while others have room', (t) => {
-  // An engine works four times slower and says nothing of it. Least load alone would choose it, and
-  // every answer from it would be late.
+test('a slow upstream is avoided while others have free slots', (t) => {
+  // An engine becomes four times slower without reporting it. By load alone it would be chosen, and
+  // all of its answers would be late.
   const slow = candidate('slow', { load: 0, pace: 140 });
-  t.is(chosen([slow, candidate('a', { load: 3 }), candidate('b', { load: 4 })]), 'a');
+  t.is(chooseId([slow, candidate('a', { load: 3 }), candidate('b', { load: 4 })]), 'a');
 });
 
-test('upstreams that failed are used when there are no others', (t) => {
-  // All upstreams of a service failed once. Refusing every request until they are trusted again
-  // would turn a hiccup into an outage.
+test('upstreams in back-off are used when there are no others', (t) => {
+  // All upstreams of a service failed once. Refusing all requests until the back-off ends would
+  // turn a brief failure into an outage.
   t.is(
-    chosen([candidate('a', { isResting: true, load: 1 }), candidate('b', { isResting: true })]),
+    chooseId([candidate('a', { isResting: true, load: 1 }), candidate('b', { isResting: true })]),
     'b',
   );
 });
 
-test('an upstream that fails rests longer each time, and one success ends that', async (t) => {
-  // An engine is dead behind its address. Each request sent to it costs its caller time, so it is
-  // tried less and less often, but never for good.
+test('the back-off of an upstream grows with each failure, and a success resets it', async (t) => {
+  // An engine has failed but is still listed. Each request sent to it costs its caller time, so it
+  // is tried less and less often, but never excluded permanently.
   const clock = newManualClock();
   const health = newHealth(clock, silentLog);
   health.failed('a', 'reset');
@@ -68,9 +68,9 @@
   t.false(health.isResting('a'));
 });
 
-test('an entry that lapsed while the store was away may come back', async (t) => {
-  // The store was down and upstreams could not renew their entries, though they live. Dropping them
-  // all at its return would leave nothing to serve with.
+test('an entry that expired during a store outage may be renewed', async (t) => {
+  // During a store outage live upstreams could not renew their entries. Removing all of them on the
+  // store's recovery would leave no upstream to serve requests.
   const clock = newManualClock();
   const directory = newDirectory(clock, silentLog);
   directory.put(newEntry('a'));
@@ -87,50 +87,51 @@
   );
 });
 
-test('an entry that is dropped while the store is well is gone at once', (t) => {
-  // Some engines leave without a word: their entry goes, and they serve for two more seconds.
+test('an entry that is deleted while the store is available is removed at once', (t) => {
+  // Some engines leave without draining: their entry is deleted 2 s before they stop serving.
   const directory = newDirectory(newManualClock(), silentLog);
   directory.put(newEntry('a'));
   directory.drop('a');
   t.deepEqual(directory.all('models'), []);
 });
 
-test('an upstream that started again under its id is another run', (t) => {
-  // It knows nothing of before; connections and counts of the run before must not be used for it.
+test('an upstream that restarts under its id is a new incarnation', (t) => {
+  // A restarted upstream has lost its state, so connections and counts of the previous incarnation
+  // must not be used for it.
   const directory = newDirectory(newManualClock(), silentLog);
-  const gone: number[] = [];
-  directory.onGone(({ startedAt }) => gone.push(startedAt));
+  const removed: number[] = [];
+  directory.onGone(({ startedAt }) => removed.push(startedAt));
   directory.put(newEntry('a', { startedAt: 1 }));
   directory.put(newEntry('a', { startedAt: 2 }));
-  t.deepEqual(gone, [1]);
+  t.deepEqual(removed, [1]);
   t.is(directory.find('a')?.startedAt, 2);
 });
 
-test('every model has at least two engines, and loads are shared evenly', (t) => {
+test('every model has at least two engines, and models are spread evenly over engines', (t) => {
   const models = ['x', 'y', 'z'];
   const engines = ['a', 'b', 'c', 'd', 'e', 'f'];
-  const homes = planHomes(models, engines);
-  models.forEach((model) => t.is(homes.get(model)?.size, 2));
+  const assignments = assignEngines(models, engines);
+  models.forEach((model) => t.is(assignments.get(model)?.size, 2));
   const counts = engines.map(
-    (engine) => models.filter((model) => homes.get(model)?.has(engine)).length,
+    (engine) => models.filter((model) => assignments.get(model)?.has(engine)).length,
   );
   t.is(Math.max(...counts), 1);
 });
 
-test('a lost engine moves the models that it had, and few others', (t) => {
+test('the loss of an engine reassigns its models and few others', (t) => {
   const models = ['x', 'y', 'z'];
   const engines = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i'];
-  const before = planHomes(models, engines);
-  const after = planHomes(models, engines.slice(1));
-  const kept = models.flatMap((model) =>
+  const before = assignEngines(models, engines);
+  const after = assignEngines(models, engines.slice(1));
+  const unchanged = models.flatMap((model) =>
     [...(after.get(model) ?? [])].filter((engine) => before.get(model)?.has(engine)),
   );
-  t.true(kept.length >= 6, `${kept.length} of 9 stayed`);
+  t.true(unchanged.length >= 6, `${unchanged.length} of 9 unchanged`);
 });
 
-test('engines of one model load one after the other', (t) => {
-  // An engine refuses new requests for a model while it loads it. Were all to load at once, every
-  // item of the model would wait for a second, at each step of its trainer.
+test('two engines of one model load one after the other', (t) => {
+  // An engine refuses new requests for a model while it loads it. If all engines loaded at once,
+  // every item of the model would wait for a second, at each step of its trainer.
   const engines = ['a', 'b'].map((id) => newEntry(id, { models: [{ model: 'x', version: 1 }] }));
   const newest = [{ model: 'x', version: 2, learnedAt: 1_000 }];
   const first = findDueLoads(engines, newest, 1_010, () => 1);
@@ -143,16 +144,16 @@
   t.not(second[0]?.entry.id, first[0]?.entry.id);
 });
 
-test('an engine that never loads does not hold the others back', (t) => {
-  // The first engine is cut off from whoever orders it. The next one's turn comes all the same.
+test('an engine that never loads does not block the others', (t) => {
+  // The first engine is unreachable for the host that orders loads. The next one must still load.
   const engines = ['a', 'b'].map((id) => newEntry(id, { models: [{ model: 'x', version: 1 }] }));
   const newest = [{ model: 'x', version: 2, learnedAt: 1_000 }];
   t.is(findDueLoads(engines, newest, 4_000, () => 1).length, 2);
 });
 
-test('of many engines a part loads at a time, and those that serve no step any more at once', (t) => {
-  // A trainer names a version every four seconds, and a load shows after two. One engine at a time
-  // keeps two of eight new enough: a step of a hundred items waits for twelve slots.
+test('a fraction of many engines loads at a time, and those too old for any step at once', (t) => {
+  // A trainer announces a version every four seconds, and a load is visible after two. Loading one
+  // engine at a time keeps two of eight recent enough: a step of 100 items waits for twelve slots.
   const versions = [9, 9, 9, 9, 9, 9, 8, 7];
   const engines = versions.map((version, index) =>
     newEntry(`engine-${index}`, { models: [{ model: 'x', version }] }),
@@ -163,8 +164,8 @@
   t.is(due.length, 4, 'two that are too old, and a third of eight in turn');
 });
 
-test('how old samples may be is learned from the steps', (t) => {
-  // One trainer takes samples of the last three versions, another only of the newest.
+test('the allowed version lag is taken from the steps of each model', (t) => {
+  // One trainer accepts samples up to three versions old, another only those of the newest version.
   const lags = newAllowedLags();
   t.is(lags.of('x'), 0);
   lags.note('x', 10, 7);
@@ -174,24 +175,24 @@
 });
 
 test('one late event does not make an engine look slow', (t) => {
-  // A stream pauses once while its engine reads a long prompt. Taken for a slow engine, it loses the
-  // items that it runs, each with a new connection and its text read again elsewhere.
+  // A stream pauses once while its engine reads a long prompt. If the engine counted as slow, its
+  // items would be moved, each at the cost of a new connection and of processing its text again.
   const health = newHealth(newManualClock(), silentLog);
   [45, 45, 600, 45, 45].forEach((gapMs) => health.observe('a', gapMs));
   t.is(health.pace('a'), 45);
 });
 
-test('an engine that has turned slow is known within some events, and tried again later', async (t) => {
+test('a slow engine is detected within a few events and tried again later', async (t) => {
   const clock = newManualClock();
   const health = newHealth(clock, silentLog);
   Array.from({ length: 15 }, () => health.observe('a', 45));
   Array.from({ length: 8 }, () => health.observe('a', 150));
   t.is(health.pace('a'), 150);
   await clock.advance(8_500);
-  t.is(health.pace('a'), null, 'nothing new is known of it');
+  t.is(health.pace('a'), null, 'its latency samples have expired');
 });
 
-test('too few events say nothing of an engine', (t) => {
+test('latency is unknown with too few events', (t) => {
   const health = newHealth(newManualClock(), silentLog);
   [400, 45, 45].forEach((gapMs) => health.observe('a', gapMs));
   t.is(health.pace('a'), null);
--- a/packages/engines/tests/planScale.test.ts
+++ b/packages/engines/tests/planScale.test.ts
@@ -1,6 +1,6 @@
 import { newManualClock } from '@cyclamengate/fakes/newManualClock';
 import test from 'ava';
-import newPeak from '../src/newPeak.js';
+import newSlidingMaximum from '../src/newSlidingMaximum.js';
 import planScale from '../src/planScale.js';
 import scaleUpstreams from '../src/scaleUpstreams.js';
 import type { UpstreamEntry } from '../src/upstreamEntry.js';
@@ -10,39 +10,39 @@
 
 const BOUNDS = { least: 1, most: 4 };
 
-test('there is a slot for every item of the peak, beyond the ordinary engines at the lower price', (t) => {
-  // Three trainers send 90 items at once to six engines of eight slots. The last third would wait
-  // for a slot, and each step would end as much later.
+test('every item of the peak gets a slot, on spot engines beyond the ordinary ones', (t) => {
+  // Three trainers send 90 items at once to six engines of eight slots. The rest would wait for a
+  // slot, which would delay each step.
   const own = [newEntry('a'), newEntry('b')];
   t.deepEqual(planScale(90, 3, own, BOUNDS, true), { ordinary: 2, spot: 2 });
 });
 
-test('while none is to be had at the lower price the ordinary one is paid', (t) => {
+test('ordinary upstreams are ordered while no spot upstreams are available', (t) => {
   const own = [newEntry('a')];
   t.deepEqual(planScale(60, 3, own, BOUNDS, false), { ordinary: 3, spot: 0 });
 });
 
-test('without load nothing is ordered beyond what is there', (t) => {
+test('without load no further upstreams are ordered', (t) => {
   const own = [newEntry('a'), newEntry('b', { isSpot: true })];
   t.deepEqual(planScale(0, 3, own, BOUNDS, true), { ordinary: 1, spot: 0 });
 });
 
-test('the bounds of the settings hold', (t) => {
+test('the number of upstreams stays within the bounds of the settings', (t) => {
   t.deepEqual(planScale(9_000, 3, [newEntry('a')], BOUNDS, true), { ordinary: 1, spot: 3 });
 });
 
-test('the peak of the last steps counts, not the lull between two', async (t) => {
+test('the maximum spans several steps and the pauses between them', async (t) => {
   const clock = newManualClock();
-  const peak = newPeak(clock, 20_000);
-  peak.note(90);
+  const peak = newSlidingMaximum(clock, 20_000);
+  peak.add(90);
   await clock.advance(4_000);
-  peak.note(3);
+  peak.add(3);
   t.is(peak.read(), 90);
   await clock.advance(17_000);
   t.is(peak.read(), 3);
 });
 
-const newParts = (entries: UpstreamEntry[]) => {
+const startScaling = (entries: UpstreamEntry[]) => {
   const clock = newManualClock();
   const placed: ScaleOrder[] = [];
   const state = { outcome: 'taken' as OrderOutcome, isHeld: true };
@@ -75,8 +75,8 @@
   return { clock, placed, state, end };
 };
 
-test('an order is given once, and again only when nothing comes of it', async (t) => {
-  const { clock, placed, end } = newParts([newEntry('a')]);
+test('an order is placed once, and repeated only if it has no effect', async (t) => {
+  const { clock, placed, end } = startScaling([newEntry('a')]);
   await clock.advance(7_000);
   t.deepEqual(
     placed.map(({ wanted, isSpot }) => [wanted, isSpot]),
@@ -87,9 +87,9 @@
   await end();
 });
 
-test('a reclaimed kind is left alone for a while, and the ordinary one ordered', async (t) => {
-  // The platform has taken back all engines of a failure domain at the lower price and has no more.
-  const { clock, placed, state, end } = newParts([newEntry('a')]);
+test('after spot upstreams are reclaimed, ordinary ones are ordered for a while', async (t) => {
+  // The platform has reclaimed all spot engines of a failure domain and has no more available.
+  const { clock, placed, state, end } = startScaling([newEntry('a')]);
   state.outcome = 'none-available';
   await clock.advance(2_000);
   t.deepEqual(
@@ -102,8 +102,8 @@
   await end();
 });
 
-test('without the lease nothing is ordered', async (t) => {
-  const { clock, placed, state, end } = newParts([newEntry('a')]);
+test('no upstreams are ordered without the lease', async (t) => {
+  const { clock, placed, state, end } = startScaling([newEntry('a')]);
   state.isHeld = false;
   await clock.advance(3_000);
   t.is(placed.filter(({ fencingToken }) => fencingToken === 4).length, placed.length);
--- a/scripts/ablate.js
+++ b/scripts/ablate.js
@@ -49,8 +49,8 @@
   ],
   'own failure domain first': [
     'packages/engines/src/chooseUpstream.ts',
-    'OTHER_DOMAIN_COST = 0.1',
-    'OTHER_DOMAIN_COST = 0',
+    'CROSS_DOMAIN_COST = 0.1',
+    'CROSS_DOMAIN_COST = 0',
   ],
   'refusals remembered': [
     'packages/batches/src/newRefusals.ts',
@@ -58,7 +58,7 @@
     'REFUSING_MS = 0',
   ],
   homes: [
-    'packages/engines/src/planHomes.ts',
+    'packages/engines/src/assignEngines.ts',
     'Math.floor(engines.length / models.length)',
     'engines.length',
   ],
@@ -72,11 +72,15 @@
     'right.expectedTokens - left.expectedTokens',
     '0',
   ],
-  resting: ['packages/engines/src/newHealth.ts', 'FIRST_REST_MS = 300', 'FIRST_REST_MS = 0'],
+  resting: [
+    'packages/engines/src/newHealth.ts',
+    'INITIAL_BACKOFF_MS = 300',
+    'INITIAL_BACKOFF_MS = 0',
+  ],
   'loads by thirds': [
     'packages/engines/src/findDueLoads.ts',
-    'Math.floor(turns.length * TURN_PART)',
-    'Math.floor(turns.length * TURN_PART * 0)',
+    'Math.floor(loadOrder.length * CONCURRENT_LOAD_FRACTION)',
+    'Math.floor(loadOrder.length * CONCURRENT_LOAD_FRACTION * 0)',
   ],
   handovers: [
     'packages/batches/src/newHandOver.ts',
