--- a/packages/routing/src/QueuePolicy.ts
+++ b/packages/routing/src/QueuePolicy.ts
@@ -2,51 +2,51 @@
 import type { Queue, QueueAddOptions } from 'p-queue';
 import type { Ticket } from './ticket.js';
 
-/** Work as p-queue hands it to its queue. */
-export type Run = () => Promise<unknown>;
+/** Work as p-queue passes it to its queue. */
+export type QueuedTask = () => Promise<unknown>;
 
-/** What p-queue passes on to the queue with each piece of work. */
+/** Options that p-queue passes to the queue along with each task. */
 export interface TicketOptions extends QueueAddOptions {
   ticket: Ticket;
 }
 
 /** A request in the queue. */
-export interface Waiting {
+export interface QueuedRequest {
   ticket: Ticket;
-  run: Run;
+  run: QueuedTask;
 }
 
-/** What every policy asks about customers. */
-export interface QueueRights {
-  /** A customer's weight. */
-  shareOf: (customer: string) => number;
-  /** Whether one more of the customer's requests may run here now. */
-  hasAllowance: (customer: string) => boolean;
+/** Per-customer weights and limits that a policy depends on. */
+export interface CustomerRights {
+  /** A customer's weight relative to other customers. */
+  getShare: (customer: string) => number;
+  /** Whether another of the customer's requests may start on this host now. */
+  mayStart: (customer: string) => boolean;
 }
 
-/** Who goes next. The queue itself is p-queue's; a policy gives it its order. */
+/** Decides the order in which p-queue starts queued requests. */
 export abstract class QueuePolicy {
-  /** To be given to p-queue as `queueClass`. */
-  abstract readonly queueClass: new () => Queue<Run, TicketOptions>;
+  /** The `queueClass` option for p-queue. */
+  abstract readonly queueClass: new () => Queue<QueuedTask, TicketOptions>;
 
-  /** Adds to what a ticket's customer has used; negative to correct an estimate. */
+  /** Adds tokens to the usage of a ticket's customer; negative to correct an estimate. */
   abstract charge(ticket: Ticket, tokens: number): void;
 
-  /** A waiting request is not to start any more. */
-  abstract giveUp(ticket: Ticket): void;
+  /** Cancels a queued request, so that it never starts. */
+  abstract cancel(ticket: Ticket): void;
 
-  /** Requests that wait, also those over their customer's limit. */
-  abstract waiting(): number;
+  /** Number of queued requests, including those over their customer's limit. */
+  abstract countQueued(): number;
 
-  /** Requests that stand before a new one of this customer. */
-  abstract waitingBefore(customer: string): number;
+  /** Number of requests queued ahead of a new one of this customer. */
+  abstract countQueuedAhead(customer: string): number;
 
-  /** Part of the slots that this customer gets while the same customers wait as now. */
-  abstract partOf(customer: string, priority: Priority): number;
+  /** Fraction of the slots that this customer gets if the queued customers stay the same. */
+  abstract estimateSlotFraction(customer: string, priority: Priority): number;
 }
 
-/** The ticket that came with a piece of work. */
-export const ticketOf = (options?: Partial<TicketOptions>): Ticket => {
-  if (!options?.ticket) throw new Error('invariant broken: work is queued with its ticket');
+/** Returns the ticket of a task. */
+export const requireTicket = (options?: Partial<TicketOptions>): Ticket => {
+  if (!options?.ticket) throw new Error('invariant broken: queued work has no ticket');
   return options.ticket;
 };
--- a/packages/routing/src/UpstreamChoice.ts
+++ b/packages/routing/src/UpstreamChoice.ts
@@ -1,14 +1,14 @@
 import type { Upstream } from '@cyclamengate/upstreams/upstream';
 
-/** What a choice may look at. */
+/** Properties of a request that influence the choice. */
 export interface ChoiceRequest {
-  /** Requests with the same value gain from the same upstream's cached prefix. */
+  /** Requests with the same key benefit from the same upstream's prefix cache. */
   prefixKey: string;
-  /** Whether the work may be cut off by a reclaim and go on elsewhere without harm. */
+  /** Whether the work can be resumed at another upstream if this one is reclaimed. */
   canResume: boolean;
 }
 
-/** A policy that picks one of the usable upstreams. */
+/** A policy that selects one of the usable upstreams. */
 export default abstract class UpstreamChoice {
   abstract choose(candidates: readonly Upstream[], request: ChoiceRequest): Upstream | null;
 }
--- a/packages/routing/src/newAdmission.ts
+++ b/packages/routing/src/newAdmission.ts
@@ -7,147 +7,162 @@
 import PQueue from 'p-queue';
 import newFairQueuePolicy from './newFairQueuePolicy.js';
 import newFifoQueuePolicy from './newFifoQueuePolicy.js';
-import proportionalPart from './proportionalPart.js';
+import proportionalShare from './proportionalShare.js';
 import type { QueuePolicy, TicketOptions } from './QueuePolicy.js';
 import { notRun } from './refusal.js';
 import type { Refusal } from './refusal.js';
 import type { Ticket } from './ticket.js';
 
-/** A refused caller comes back no sooner than this. */
-const SHORTEST_RETRY_MS = 1_000;
-const LONGEST_RETRY_MS = 60_000;
-/** How much of a new observation goes into the average time a request holds its slot. */
-const OBSERVATION_WEIGHT = 0.1;
-const FIRST_GUESS_HOLD_MS = 200;
-/** While no upstream is usable, a request waits for one only so long. */
-const NO_UPSTREAM_WAIT_MS = 5_000;
+/** Bounds on the delay after which a refused caller is told to retry. */
+const MIN_RETRY_DELAY_MS = 1_000;
+const MAX_RETRY_DELAY_MS = 60_000;
+/** Weight of a new observation in the moving average of the time a request holds its slot. */
+const HOLD_TIME_SMOOTHING = 0.1;
+const INITIAL_HOLD_TIME_MS = 200;
+/** Maximum time that a request waits while no upstream is usable. */
+const NO_UPSTREAM_TIMEOUT_MS = 5_000;
 
 export interface AdmissionOptions {
   clock: Clock;
   service: string;
   policy: QueuePolicyName;
-  /** Part of the slots kept free for customers that run less than their share. */
+  /** Fraction of the slots reserved for customers that run less than their share. */
   reservedPart: number;
   readSettings: () => EffectiveSettings;
-  /** Other live entries, with what they run and want. */
+  /** The other live entries, with their running requests and their demand. */
   otherEntries: () => Member[];
-  /** Requests of a customer that run on this host, in all services. */
+  /** Number of a customer's requests that run on this host, in all services. */
   inFlightOf: (customer: string) => number;
 }
 
-/** Admits requests of one service: shares, limits, deadlines. */
+/** Admission control for one service: enforces shares, limits and deadlines. */
 const newAdmission = (options: AdmissionOptions) => {
   const { clock, service, policy, reservedPart, readSettings, otherEntries, inFlightOf } = options;
-  const runningHere = new Map<string, number>();
-  let slotsHere = 1;
-  let pendingHere = 0;
+  const runningByCustomer = new Map<string, number>();
+  let localSlots = 1;
+  let runningTotal = 0;
 
-  const limitOf = (customer: string): number => {
+  const computeLocalLimit = (customer: string): number => {
     const limit = readSettings().customers.get(customer)?.maxInFlight ?? 1;
     const others = otherEntries().map(({ inFlight }) => inFlight[customer] ?? 0);
-    return proportionalPart(limit, inFlightOf(customer), others);
+    return proportionalShare(limit, inFlightOf(customer), others);
   };
 
-  const shareOf = (customer: string): number => readSettings().customers.get(customer)?.share ?? 1;
+  const getShare = (customer: string): number => readSettings().customers.get(customer)?.share ?? 1;
 
   /**
-   * Whether a customer may take a slot now, or must leave it to others.
+   * Whether a customer may take a slot now or has to leave it to other customers.
    *
-   * Slots that start together end together, so while a large customer keeps all of them busy, a
-   * small one that arrives waits for most of a generation, whoever goes next then. A customer that
-   * runs more than its share of the slots leaves a part of them free for those that run less.
+   * Requests that start together end together. If one customer occupied all slots, another one that
+   * arrives would wait for most of a generation even if it is next in the queue. A customer that
+   * runs more than its share therefore leaves a fraction of the slots to those that run less.
    */
-  const hasRoomFor = (customer: string): boolean => {
-    if (pendingHere < slotsHere * (1 - reservedPart)) return true;
-    const active = new Set([...runningHere.keys(), customer]);
-    const all = [...active].reduce((sum, name) => sum + shareOf(name), 0);
-    return (runningHere.get(customer) ?? 0) < (slotsHere * shareOf(customer)) / all;
+  const hasSlotFor = (customer: string): boolean => {
+    if (runningTotal < localSlots * (1 - reservedPart)) return true;
+    const active = new Set([...runningByCustomer.keys(), customer]);
+    const totalShares = [...active].reduce((sum, name) => sum + getShare(name), 0);
+    return (runningByCustomer.get(customer) ?? 0) < (localSlots * getShare(customer)) / totalShares;
   };
 
-  const countHere = (customer: string, change: number): void => {
-    const count = (runningHere.get(customer) ?? 0) + change;
-    pendingHere += change;
-    if (count === 0) runningHere.delete(customer);
-    else runningHere.set(customer, count);
+  const adjustRunning = (customer: string, change: number): void => {
+    const count = (runningByCustomer.get(customer) ?? 0) + change;
+    runningTotal += change;
+    if (count === 0) runningByCustomer.delete(customer);
+    else runningByCustomer.set(customer, count);
   };
 
   const newQueuePolicy = policy === 'fifo' ? newFifoQueuePolicy : newFairQueuePolicy;
-  const order = newQueuePolicy({
-    shareOf,
-    hasAllowance: (customer) =>
-      inFlightOf(customer) < limitOf(customer) && (policy === 'fifo' || hasRoomFor(customer)),
+  const queuePolicy = newQueuePolicy({
+    getShare,
+    mayStart: (customer) =>
+      inFlightOf(customer) < computeLocalLimit(customer) &&
+      (policy === 'fifo' || hasSlotFor(customer)),
   });
   const queue = new PQueue<InstanceType<QueuePolicy['queueClass']>, TicketOptions>({
     concurrency: 1,
-    queueClass: order.queueClass,
+    queueClass: queuePolicy.queueClass,
   });
-  let holdMs = FIRST_GUESS_HOLD_MS;
+  let averageHoldMs = INITIAL_HOLD_TIME_MS;
 
-  const demand = (): number => order.waiting() + queue.pending;
+  const demand = (): number => queuePolicy.countQueued() + queue.pending;
 
-  /** Sets how many requests run here at once, as this host's part of the service's slots. */
+  /** Sets this host's concurrency to its share of the service's slots. */
   const setSlots = (slots: number): void => {
     const others = otherEntries().map((member) => member.demand[service] ?? 0);
     if (slots === 0) {
       queue.pause();
       return;
     }
-    slotsHere = proportionalPart(slots, demand(), others);
-    queue.concurrency = slotsHere;
+    localSlots = proportionalShare(slots, demand(), others);
+    queue.concurrency = localSlots;
     queue.start();
   };
 
-  /** How long a new request of this customer would wait, from its share of the slots. */
-  const expectedWaitMs = ({ customer, priority }: Ticket): number => {
-    if (queue.pending < queue.concurrency && order.waiting() === 0) return 0;
-    const startsPerMs = (queue.concurrency / holdMs) * order.partOf(customer, priority);
-    return (order.waitingBefore(customer) + 1) / startsPerMs;
+  /** Estimates how long a new request would wait, from its customer's share of the slots. */
+  const estimateWaitMs = ({ customer, priority }: Ticket): number => {
+    if (queue.pending < queue.concurrency && queuePolicy.countQueued() === 0) return 0;
+    const startsPerMs =
+      (queue.concurrency / averageHoldMs) * queuePolicy.estimateSlotFraction(customer, priority);
+    return (queuePolicy.countQueuedAhead(customer) + 1) / startsPerMs;
   };
 
-  const retryAt = (waitMs: number): number =>
-    clock.now() + Math.min(LONGEST_RETRY_MS, Math.max(SHORTEST_RETRY_MS, waitMs));
+  const computeRetryAt = (waitMs: number): number =>
+    clock.now() + Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, waitMs));
 
   const findRefusal = (ticket: Ticket): Refusal | null => {
     const { maxQueued = 1 } = readSettings().customers.get(ticket.customer) ?? {};
-    const waitMs = expectedWaitMs(ticket);
-    if (order.waitingBefore(ticket.customer) >= maxQueued) {
-      return notRun('queue-full', 'too many requests of this customer wait', retryAt(waitMs));
+    const waitMs = estimateWaitMs(ticket);
+    if (queuePolicy.countQueuedAhead(ticket.customer) >= maxQueued) {
+      return notRun(
+        'queue-full',
+        'too many requests of this customer wait',
+        computeRetryAt(waitMs),
+      );
     }
     if (queue.isPaused || clock.now() + waitMs <= ticket.deadline) return null;
-    return notRun('deadline-not-reachable', 'it would start after its deadline', retryAt(waitMs));
+    return notRun(
+      'deadline-not-reachable',
+      'it would start after its deadline',
+      computeRetryAt(waitMs),
+    );
   };
 
-  /** Why a ticket that waited until now is given up. */
-  const reasonNow = (ticket: Ticket, signal: AbortSignal): Refusal => {
+  /** Returns the refusal for a queued ticket that is cancelled now. */
+  const explainCancellation = (ticket: Ticket, signal: AbortSignal): Refusal => {
     if (signal.aborted) return notRun('caller-gone', 'the caller went away before it started');
-    if (queue.isPaused) return notRun('no-upstream', 'no upstream can take it now', retryAt(0));
-    return notRun('deadline-passed', 'it could not start in time', retryAt(expectedWaitMs(ticket)));
+    if (queue.isPaused)
+      return notRun('no-upstream', 'no upstream can take it now', computeRetryAt(0));
+    return notRun(
+      'deadline-passed',
+      'it could not start in time',
+      computeRetryAt(estimateWaitMs(ticket)),
+    );
   };
 
-  /** Resolves when the ticket may no longer wait: its deadline, or its caller has gone. */
-  const waitGivenUp = async (ticket: Ticket, signal: AbortSignal): Promise<Refusal> => {
+  /** Resolves when the ticket's deadline passes or its caller disconnects. */
+  const waitUntilCancelled = async (ticket: Ticket, signal: AbortSignal): Promise<Refusal> => {
     const deadline = queue.isPaused
-      ? Math.min(ticket.deadline, clock.now() + NO_UPSTREAM_WAIT_MS)
+      ? Math.min(ticket.deadline, clock.now() + NO_UPSTREAM_TIMEOUT_MS)
       : ticket.deadline;
     await clock.sleepUntil(deadline, signal);
-    return reasonNow(ticket, signal);
+    return explainCancellation(ticket, signal);
   };
 
-  const hold = async <T>({ customer }: Ticket, work: () => Promise<T>): Promise<T> => {
+  const runInSlot = async <T>({ customer }: Ticket, work: () => Promise<T>): Promise<T> => {
     const startedAt = clock.now();
-    countHere(customer, 1);
+    adjustRunning(customer, 1);
     try {
       return await work();
     } finally {
-      countHere(customer, -1);
+      adjustRunning(customer, -1);
       const heldMs = Math.max(1, clock.now() - startedAt);
-      holdMs += (heldMs - holdMs) * OBSERVATION_WEIGHT;
+      averageHoldMs += (heldMs - averageHoldMs) * HOLD_TIME_SMOOTHING;
     }
   };
 
   /**
-   * Runs work when its turn comes, or refuses it: at once if its deadline can't be met, else the
-   * moment the deadline passes. Work that was refused never starts afterwards.
+   * Runs work when a slot is free, or refuses it: at once if its deadline can't be met, otherwise
+   * as soon as the deadline passes. Refused work never starts afterwards.
    */
   const run = async <T>(
     ticket: Ticket,
@@ -157,21 +172,21 @@
     const refusal = findRefusal(ticket);
     if (refusal) return Err(refusal);
     const started = new AbortController();
-    const waiting = AbortSignal.any([signal, started.signal]);
+    const waitSignal = AbortSignal.any([signal, started.signal]);
     const working = queue.add(
       async () => {
         if (ticket.isGivenUp) return null;
         started.abort();
-        return Ok(await hold(ticket, work));
+        return Ok(await runInSlot(ticket, work));
       },
       { ticket },
     );
-    const givingUp = waitGivenUp(ticket, waiting).then((reason) => {
+    const cancelling = waitUntilCancelled(ticket, waitSignal).then((reason) => {
       if (started.signal.aborted) return null;
-      order.giveUp(ticket);
+      queuePolicy.cancel(ticket);
       return Err(reason);
     });
-    const first = await Promise.race([working, givingUp]);
+    const first = await Promise.race([working, cancelling]);
     return first ?? ((await working) as Result<T, Refusal>);
   };
 
@@ -179,9 +194,10 @@
     run,
     setSlots,
     demand,
-    /** Corrects the estimate once the true cost is known, in tokens. */
-    correct: (ticket: Ticket, tokens: number): void => order.charge(ticket, tokens - ticket.cost),
-    waiting: order.waiting,
+    /** Corrects the charged estimate once the actual cost is known, in tokens. */
+    correct: (ticket: Ticket, tokens: number): void =>
+      queuePolicy.charge(ticket, tokens - ticket.cost),
+    countQueued: queuePolicy.countQueued,
   };
 };
 
--- a/packages/routing/src/newAffinityChoice.ts
+++ b/packages/routing/src/newAffinityChoice.ts
@@ -4,42 +4,42 @@
 import UpstreamChoice from './UpstreamChoice.js';
 import type { ChoiceRequest } from './UpstreamChoice.js';
 
-/** An upstream with its prefix cached is taken until its load is so much above the average. */
-const AFFINITY_LOAD_BOUND = 1.25;
-/** Load, as a part of the slots, below which an upstream counts as free. */
-const FREE_LOAD = 0.5;
+/** The preferred upstream is chosen while its load is below this multiple of the average. */
+const AFFINITY_LOAD_FACTOR = 1.25;
+/** Load, as a fraction of the slots, below which the preferred upstream is always chosen. */
+const MIN_AFFINITY_LOAD_BOUND = 0.5;
 
 /**
- * Own failure domain first, then the upstream that is likely to have the prompt's prefix cached as
- * long as its load allows, else the better of two picked at random. Two instead of all: the reports
- * lag, and if every host ran to the one that looked idle a second ago it would be flooded.
+ * Prefers the host's own failure domain, then the upstream that is likely to have the prompt's
+ * prefix cached if its load allows, otherwise the less loaded of two random ones. Load reports lag:
+ * if every host chose the least loaded of all upstreams, that one would be overloaded.
  */
 const newAffinityChoice = (failureDomain: string, random: () => number): UpstreamChoice => {
-  const nearest = (candidates: readonly Upstream[]): readonly Upstream[] => {
-    const near = candidates.filter(({ status }) => status.failureDomain === failureDomain);
-    const hasRoom = near.some((upstream) => estimateLoad(upstream) < 1);
-    return hasRoom ? near : candidates;
+  const preferOwnDomain = (candidates: readonly Upstream[]): readonly Upstream[] => {
+    const inDomain = candidates.filter(({ status }) => status.failureDomain === failureDomain);
+    const hasFreeSlot = inDomain.some((upstream) => estimateLoad(upstream) < 1);
+    return hasFreeSlot ? inDomain : candidates;
   };
 
-  /** Cheap upstreams may be reclaimed at any time, so they are for work that can go on elsewhere. */
-  const fitting = (
+  /** Cheap upstreams may be reclaimed at any time, so they get work that can resume elsewhere. */
+  const preferKind = (
     candidates: readonly Upstream[],
     { canResume }: ChoiceRequest,
   ): readonly Upstream[] => {
     const wanted = canResume ? 'cheap' : 'standard';
-    const fit = candidates.filter(({ status }) => status.kind === wanted);
-    const hasRoom = fit.some((upstream) => estimateLoad(upstream) < 1);
-    return hasRoom ? fit : candidates;
+    const ofKind = candidates.filter(({ status }) => status.kind === wanted);
+    const hasFreeSlot = ofKind.some((upstream) => estimateLoad(upstream) < 1);
+    return hasFreeSlot ? ofKind : candidates;
   };
 
-  const pickLighter = (candidates: readonly Upstream[]): Upstream | null => {
+  const pickLessLoaded = (candidates: readonly Upstream[]): Upstream | null => {
     const first = candidates[Math.floor(random() * candidates.length)] ?? null;
     const second = candidates[Math.floor(random() * candidates.length)] ?? null;
     if (!first || !second) return first;
     return estimateLoad(first) <= estimateLoad(second) ? first : second;
   };
 
-  const findAffine = (
+  const findPreferred = (
     candidates: readonly Upstream[],
     { prefixKey }: ChoiceRequest,
   ): Upstream | undefined => {
@@ -48,17 +48,22 @@
     return byId.get(preferred ?? '');
   };
 
-  const isLight = (upstream: Upstream, candidates: readonly Upstream[]): boolean => {
+  const isBelowLoadBound = (upstream: Upstream, candidates: readonly Upstream[]): boolean => {
     const total = candidates.reduce((sum, candidate) => sum + estimateLoad(candidate), 0);
-    const bound = Math.max(FREE_LOAD, (total / candidates.length) * AFFINITY_LOAD_BOUND);
+    const bound = Math.max(
+      MIN_AFFINITY_LOAD_BOUND,
+      (total / candidates.length) * AFFINITY_LOAD_FACTOR,
+    );
     return estimateLoad(upstream) < bound;
   };
 
   class AffinityChoice extends UpstreamChoice {
     choose(candidates: readonly Upstream[], request: ChoiceRequest): Upstream | null {
-      const eligible = fitting(nearest(candidates), request);
-      const affine = findAffine(eligible, request);
-      return affine && isLight(affine, eligible) ? affine : pickLighter(eligible);
+      const eligible = preferKind(preferOwnDomain(candidates), request);
+      const preferred = findPreferred(eligible, request);
+      return preferred && isBelowLoadBound(preferred, eligible)
+        ? preferred
+        : pickLessLoaded(eligible);
     }
   }
   return new AffinityChoice();
--- a/packages/routing/src/newCallClaims.ts
+++ b/packages/routing/src/newCallClaims.ts
@@ -11,27 +11,30 @@
 const OUTCOME_TIMEOUT_MS = 30_000;
 const RETRY_AFTER_MS = 5_000;
 
-/** The right to run one call, to be ended with what came of it. */
-export interface HeldCall {
+/** A claimed call, whose outcome is to be recorded. */
+export interface ClaimedCall {
   end: (outcome: CallOutcome['outcome']) => void;
 }
 
 /**
- * Claims calls that may not be repeated, in the log, before anything of them leaves.
+ * Writes a claim to the log for each call that may not be repeated, before the call is sent to an
+ * upstream.
  *
- * Two hosts that both get the call, from a caller that sends it again, can't know of each other in
- * time; the log's order decides between them. Without a claim the call is refused as not run: a
- * claim whose fate is unknown is given up with its attempt, so it can't license a run later.
+ * If a caller sends a call again to another host, the two hosts can't learn of each other in time;
+ * the order of the claims in the log decides which one runs the call. Without a confirmed claim the
+ * call is refused as not run. A claim with an unknown outcome is abandoned together with its
+ * attempt id, so it can't permit a run later.
  */
 const newCallClaims = (clock: Clock, writer: LogWriter) => {
-  const end = (
+  const recordOutcome = (
     customer: string,
     idempotencyKey: string,
     attempt: string,
     outcome: CallOutcome['outcome'],
   ): void => {
     const record = { type: 'call-outcome', customer, idempotencyKey, attempt, outcome } as const;
-    // Not awaited: if it never lands, the key stays claimed and a repetition stays refused.
+    // Not awaited: if the record is never written, the key stays claimed and repetitions are
+    // refused.
     writer.write(record, clock.now() + OUTCOME_TIMEOUT_MS).catch(() => undefined);
   };
 
@@ -39,23 +42,23 @@
     customer: string,
     idempotencyKey: string,
     requestDigest: string,
-  ): Promise<Result<HeldCall, Refusal>> => {
+  ): Promise<Result<ClaimedCall, Refusal>> => {
     const attempt = newId('attempt');
     const decision = await writer.write(
       { type: 'call-claim', customer, idempotencyKey, requestDigest, attempt },
       clock.now() + CLAIM_TIMEOUT_MS,
     );
     if (!decision.ok) {
-      end(customer, idempotencyKey, attempt, 'not-run');
+      recordOutcome(customer, idempotencyKey, attempt, 'not-run');
       const retryAt = clock.now() + RETRY_AFTER_MS;
       return Err(notRun('claim-not-possible', 'the log did not confirm the claim', retryAt));
     }
     if (!decision.val.accepted) {
-      // This attempt has not run, but the call may have: only "unknown" is true for the caller.
+      // This attempt has not run, but an earlier one may have, so the call's outcome is unknown.
       const message = decision.val.reason;
       return Err({ code: 'idempotency-key-used', outcome: 'unknown', message, retryAt: null });
     }
-    return Ok({ end: (outcome) => end(customer, idempotencyKey, attempt, outcome) });
+    return Ok({ end: (outcome) => recordOutcome(customer, idempotencyKey, attempt, outcome) });
   };
 };
 
--- a/packages/routing/src/newChoice.ts
+++ b/packages/routing/src/newChoice.ts
@@ -5,7 +5,7 @@
 import newRandomChoice from './newRandomChoice.js';
 import type UpstreamChoice from './UpstreamChoice.js';
 
-/** The policy of a name in the settings. */
+/** Creates the policy that the settings name. */
 const newChoice = (
   name: ChoicePolicyName,
   failureDomain: string,
--- a/packages/routing/src/newFairQueuePolicy.ts
+++ b/packages/routing/src/newFairQueuePolicy.ts
@@ -1,156 +1,159 @@
 import type { Queue } from 'p-queue';
 import type { Priority } from '@cyclamengate/upstreams/generation';
-import { QueuePolicy, ticketOf } from './QueuePolicy.js';
-import type { QueueRights, Run, TicketOptions, Waiting } from './QueuePolicy.js';
+import { QueuePolicy, requireTicket } from './QueuePolicy.js';
+import type { CustomerRights, QueuedTask, TicketOptions, QueuedRequest } from './QueuePolicy.js';
 import { PRIORITIES } from './refusal.js';
 import type { Ticket } from './ticket.js';
 
-/** Parts of the slots that classes of work get while all of them wait. */
-const CLASS_SHARES: Readonly<Record<Priority, number>> = {
+/** Relative shares of service that the priorities get while requests of each are queued. */
+const PRIORITY_SHARES: Readonly<Record<Priority, number>> = {
   interactive: 16,
   background: 2,
   training: 4,
 };
 
-/** A customer's waiting requests; those given up stay in the list until their turn comes. */
+/** A customer's queued requests; cancelled ones stay in the list until they are dequeued. */
 interface CustomerQueue {
-  waiting: Waiting[];
-  live: number;
+  requests: QueuedRequest[];
+  /** Number of requests that are not cancelled. */
+  activeCount: number;
 }
 
-/** Service taken so far, in tokens by share, of those that compete on one level. */
-const newCounters = () => {
+/** Usage per competitor (a priority or a customer), in tokens divided by its share. */
+const newUsageCounters = () => {
   const used = new Map<string, number>();
   return {
     get: (name: string): number => used.get(name) ?? 0,
     charge: (name: string, amount: number): void => {
       used.set(name, (used.get(name) ?? 0) + amount);
     },
-    /** One that was idle starts level with those that wait: idleness earns no credit. */
-    lift: (name: string, waiting: readonly string[]): void => {
-      if (waiting.length === 0) return;
-      const least = Math.min(...waiting.map((other) => used.get(other) ?? 0));
-      used.set(name, Math.max(used.get(name) ?? 0, least));
+    /** Raises a counter to the lowest of its competitors', so that idle time earns no credit. */
+    raiseToMinimum: (name: string, others: readonly string[]): void => {
+      if (others.length === 0) return;
+      const lowest = Math.min(...others.map((other) => used.get(other) ?? 0));
+      used.set(name, Math.max(used.get(name) ?? 0, lowest));
     },
   };
 };
 
 /**
- * Shares out service instead of taking turns by arrival.
+ * Weighted fair queueing over priorities and customers.
  *
- * With first-in-first-out, one customer's burst stands in front of everybody. Here each customer
- * has a counter of the tokens it was given, divided by its share, and the one with the lowest goes
- * next; the same among the classes of work. A request is charged its estimate when it starts and
- * the difference when its true cost is known.
+ * With a first-in-first-out queue, one customer's burst delays all other customers. Here each
+ * customer has a counter of the tokens that it has used, divided by its share, and the customer
+ * with the lowest counter is next; priorities are chosen the same way. A request is charged its
+ * estimated cost when it starts and the difference once its actual cost is known.
  */
-const newFairQueuePolicy = ({ shareOf, hasAllowance }: QueueRights): QueuePolicy => {
+const newFairQueuePolicy = ({ getShare, mayStart }: CustomerRights): QueuePolicy => {
   const queues = new Map<Priority, Map<string, CustomerQueue>>(
     PRIORITIES.map((priority) => [priority, new Map<string, CustomerQueue>()]),
   );
-  const classCounters = newCounters();
-  const customerCounters = newCounters();
-  let total = 0;
+  const priorityCounters = newUsageCounters();
+  const customerCounters = newUsageCounters();
+  let queuedTotal = 0;
 
-  const queuesOf = (priority: Priority): Map<string, CustomerQueue> =>
+  const getQueues = (priority: Priority): Map<string, CustomerQueue> =>
     queues.get(priority) as Map<string, CustomerQueue>;
 
-  const waitingClasses = (): Priority[] =>
-    PRIORITIES.filter((priority) => queuesOf(priority).size > 0);
+  const findQueuedPriorities = (): Priority[] =>
+    PRIORITIES.filter((priority) => getQueues(priority).size > 0);
 
-  const counterName = (priority: Priority, customer: string): string => `${priority} ${customer}`;
+  const customerCounterName = (priority: Priority, customer: string): string =>
+    `${priority} ${customer}`;
 
   const charge = ({ priority, customer }: Ticket, tokens: number): void => {
-    classCounters.charge(priority, tokens / CLASS_SHARES[priority]);
-    customerCounters.charge(counterName(priority, customer), tokens / shareOf(customer));
+    priorityCounters.charge(priority, tokens / PRIORITY_SHARES[priority]);
+    customerCounters.charge(customerCounterName(priority, customer), tokens / getShare(customer));
   };
 
-  /** One request of a customer fewer waits; the last one takes the customer out. */
-  const countDown = ({ priority, customer }: Ticket): void => {
-    const queue = queuesOf(priority).get(customer);
+  /** Removes a request from the counts, and its customer if it was the customer's last one. */
+  const removeQueued = ({ priority, customer }: Ticket): void => {
+    const queue = getQueues(priority).get(customer);
     if (!queue) return;
-    total -= 1;
-    queue.live -= 1;
-    if (queue.live === 0) queuesOf(priority).delete(customer);
+    queuedTotal -= 1;
+    queue.activeCount -= 1;
+    if (queue.activeCount === 0) getQueues(priority).delete(customer);
   };
 
   const countEligible = (priority: Priority): number =>
-    [...queuesOf(priority)].reduce(
-      (sum, [customer, { live }]) => sum + (hasAllowance(customer) ? live : 0),
+    [...getQueues(priority)].reduce(
+      (sum, [customer, { activeCount }]) => sum + (mayStart(customer) ? activeCount : 0),
       0,
     );
 
-  /** Takes a customer's oldest request that was not given up meanwhile. */
-  const shiftLive = ({ waiting }: CustomerQueue): Waiting | undefined => {
-    let taken = waiting.shift();
-    while (taken?.ticket.isGivenUp) taken = waiting.shift();
+  /** Removes and returns a customer's oldest request that is not cancelled. */
+  const shiftActive = ({ requests }: CustomerQueue): QueuedRequest | undefined => {
+    let taken = requests.shift();
+    while (taken?.ticket.isGivenUp) taken = requests.shift();
     return taken;
   };
 
-  const takeFrom = (priority: Priority): Waiting | undefined => {
-    const customers = queuesOf(priority);
+  const dequeueFrom = (priority: Priority): QueuedRequest | undefined => {
+    const customers = getQueues(priority);
     const [next] = [...customers.keys()]
-      .filter(hasAllowance)
+      .filter(mayStart)
       .sort(
         (left, right) =>
-          customerCounters.get(counterName(priority, left)) -
-          customerCounters.get(counterName(priority, right)),
+          customerCounters.get(customerCounterName(priority, left)) -
+          customerCounters.get(customerCounterName(priority, right)),
       );
     const queue = next === undefined ? undefined : customers.get(next);
-    return queue && shiftLive(queue);
+    return queue && shiftActive(queue);
   };
 
-  const take = (): Waiting | undefined => {
-    const classes = waitingClasses().sort(
-      (left, right) => classCounters.get(left) - classCounters.get(right),
+  const dequeueNext = (): QueuedRequest | undefined => {
+    const priorities = findQueuedPriorities().sort(
+      (left, right) => priorityCounters.get(left) - priorityCounters.get(right),
     );
-    return classes.reduce<Waiting | undefined>(
-      (taken, priority) => taken ?? takeFrom(priority),
+    return priorities.reduce<QueuedRequest | undefined>(
+      (taken, priority) => taken ?? dequeueFrom(priority),
       undefined,
     );
   };
 
-  /** Whoever did not wait until now starts level with those that do. */
-  const lift = ({ priority, customer }: Ticket): void => {
-    const customers = queuesOf(priority);
-    if (customers.size === 0) classCounters.lift(priority, waitingClasses());
-    const names = [...customers.keys()].map((waiting) => counterName(priority, waiting));
-    customerCounters.lift(counterName(priority, customer), names);
+  /** Raises the counters of a customer and priority that had no queued requests. */
+  const raiseCounters = ({ priority, customer }: Ticket): void => {
+    const customers = getQueues(priority);
+    if (customers.size === 0) priorityCounters.raiseToMinimum(priority, findQueuedPriorities());
+    const names = [...customers.keys()].map((queued) => customerCounterName(priority, queued));
+    customerCounters.raiseToMinimum(customerCounterName(priority, customer), names);
   };
 
-  class FairQueue implements Queue<Run, TicketOptions> {
-    enqueue(run: Run, options?: Partial<TicketOptions>): void {
-      const ticket = ticketOf(options);
-      const customers = queuesOf(ticket.priority);
+  class FairQueue implements Queue<QueuedTask, TicketOptions> {
+    enqueue(run: QueuedTask, options?: Partial<TicketOptions>): void {
+      const ticket = requireTicket(options);
+      const customers = getQueues(ticket.priority);
       const known = customers.get(ticket.customer);
-      if (!known) lift(ticket);
-      const queue = known ?? { waiting: [], live: 0 };
+      if (!known) raiseCounters(ticket);
+      const queue = known ?? { requests: [], activeCount: 0 };
       customers.set(ticket.customer, queue);
-      queue.waiting.push({ ticket, run });
-      queue.live += 1;
-      total += 1;
+      queue.requests.push({ ticket, run });
+      queue.activeCount += 1;
+      queuedTotal += 1;
     }
 
-    dequeue(): Run | undefined {
-      const taken = take();
+    dequeue(): QueuedTask | undefined {
+      const taken = dequeueNext();
       if (!taken) return undefined;
-      countDown(taken.ticket);
+      removeQueued(taken.ticket);
       charge(taken.ticket, taken.ticket.cost);
       return taken.run;
     }
 
-    filter(): Run[] {
+    filter(): QueuedTask[] {
       return PRIORITIES.flatMap((priority) =>
-        [...queuesOf(priority).values()].flatMap(({ waiting }) => waiting.map(({ run }) => run)),
+        [...getQueues(priority).values()].flatMap(({ requests }) => requests.map(({ run }) => run)),
       );
     }
 
     setPriority(): void {
-      throw new Error('invariant broken: a ticket keeps its class');
+      throw new Error("invariant broken: a queued ticket's priority is fixed");
     }
 
     /**
-     * Counts only what may start now: p-queue takes one out whenever this is not zero. What waits
-     * for its customer's limit is looked at again when a request ends or the queue is started.
+     * Counts only requests that may start now, since p-queue dequeues whenever the size is not
+     * zero. Requests over their customer's limit are checked again when a request ends or the queue
+     * starts.
      */
     get size(): number {
       return PRIORITIES.reduce((sum, priority) => sum + countEligible(priority), 0);
@@ -164,27 +167,27 @@
       charge(ticket, tokens);
     }
 
-    giveUp(ticket: Ticket): void {
+    cancel(ticket: Ticket): void {
       if (ticket.isGivenUp) return;
       ticket.isGivenUp = true;
-      countDown(ticket);
+      removeQueued(ticket);
     }
 
-    waiting(): number {
-      return total;
+    countQueued(): number {
+      return queuedTotal;
     }
 
-    waitingBefore(customer: string): number {
+    countQueuedAhead(customer: string): number {
       return PRIORITIES.reduce(
-        (sum, priority) => sum + (queuesOf(priority).get(customer)?.live ?? 0),
+        (sum, priority) => sum + (getQueues(priority).get(customer)?.activeCount ?? 0),
         0,
       );
     }
 
-    partOf(customer: string, priority: Priority): number {
-      const competing = new Set([...queuesOf(priority).keys(), customer]);
-      const all = [...competing].reduce((sum, name) => sum + shareOf(name), 0);
-      return shareOf(customer) / all;
+    estimateSlotFraction(customer: string, priority: Priority): number {
+      const competitors = new Set([...getQueues(priority).keys(), customer]);
+      const totalShares = [...competitors].reduce((sum, name) => sum + getShare(name), 0);
+      return getShare(customer) / totalShares;
     }
   }
   return new FairQueuePolicy();
--- a/packages/routing/src/newFifoQueuePolicy.ts
+++ b/packages/routing/src/newFifoQueuePolicy.ts
@@ -1,34 +1,34 @@
 import type { Queue } from 'p-queue';
-import { QueuePolicy, ticketOf } from './QueuePolicy.js';
+import { QueuePolicy, requireTicket } from './QueuePolicy.js';
 import type { Ticket } from './ticket.js';
-import type { QueueRights, Run, TicketOptions, Waiting } from './QueuePolicy.js';
+import type { CustomerRights, QueuedTask, TicketOptions, QueuedRequest } from './QueuePolicy.js';
 
-/** First in, first out over all customers; the baseline that fair queueing is measured against. */
-const newFifoQueuePolicy = ({ hasAllowance }: Pick<QueueRights, 'hasAllowance'>): QueuePolicy => {
-  let queue: Waiting[] = [];
+/** First in, first out over all customers; the baseline for comparison with fair queueing. */
+const newFifoQueuePolicy = ({ mayStart }: Pick<CustomerRights, 'mayStart'>): QueuePolicy => {
+  let queue: QueuedRequest[] = [];
 
-  const eligible = (): Waiting[] => {
+  const eligible = (): QueuedRequest[] => {
     queue = queue.filter(({ ticket }) => !ticket.isGivenUp);
-    return queue.filter(({ ticket }) => hasAllowance(ticket.customer));
+    return queue.filter(({ ticket }) => mayStart(ticket.customer));
   };
 
-  class FifoQueue implements Queue<Run, TicketOptions> {
-    enqueue(run: Run, options?: Partial<TicketOptions>): void {
-      queue.push({ ticket: ticketOf(options), run });
+  class FifoQueue implements Queue<QueuedTask, TicketOptions> {
+    enqueue(run: QueuedTask, options?: Partial<TicketOptions>): void {
+      queue.push({ ticket: requireTicket(options), run });
     }
 
-    dequeue(): Run | undefined {
+    dequeue(): QueuedTask | undefined {
       const [next] = eligible();
-      queue = queue.filter((waiting) => waiting !== next);
+      queue = queue.filter((request) => request !== next);
       return next?.run;
     }
 
-    filter(): Run[] {
+    filter(): QueuedTask[] {
       return queue.map(({ run }) => run);
     }
 
     setPriority(): void {
-      throw new Error('invariant broken: a ticket keeps its place');
+      throw new Error("invariant broken: a queued ticket's position is fixed");
     }
 
     get size(): number {
@@ -41,19 +41,19 @@
 
     charge(): void {}
 
-    giveUp(ticket: Ticket): void {
+    cancel(ticket: Ticket): void {
       ticket.isGivenUp = true;
     }
 
-    waiting(): number {
+    countQueued(): number {
       return queue.length;
     }
 
-    waitingBefore(): number {
+    countQueuedAhead(): number {
       return queue.length;
     }
 
-    partOf(): number {
+    estimateSlotFraction(): number {
       return 1;
     }
   }
--- a/packages/routing/src/newGenerationRelay.ts
+++ b/packages/routing/src/newGenerationRelay.ts
@@ -7,14 +7,14 @@
 import type { Upstream } from '@cyclamengate/upstreams/upstream';
 import { isNotRun } from '@cyclamengate/upstreams/upstreamFault';
 import type { UpstreamFault } from '@cyclamengate/upstreams/upstreamFault';
-import findCause from './findCause.js';
-import type { BreakCause } from './findCause.js';
+import findFailureCause from './findFailureCause.js';
+import type { FailureCause } from './findFailureCause.js';
 import type { RetryBudget } from './newRetryBudget.js';
 import { notRun } from './refusal.js';
 import type { Refusal } from './refusal.js';
 import type UpstreamChoice from './UpstreamChoice.js';
 
-const MOST_ATTEMPTS = 4;
+const MAX_ATTEMPTS = 4;
 const RETRY_AFTER_MS = 2_000;
 
 export interface RelayOptions {
@@ -29,21 +29,20 @@
 interface Progress {
   generation: Generation;
   tokens: string[];
-  /** Whether an upstream may have begun to run it. */
+  /** Whether an upstream may have started to run the request. */
   mayHaveRun: boolean;
   tried: Set<string>;
 }
 
-const refusalOf = (progress: Progress, refusal: Refusal): Refusal => {
+const withOutcome = (progress: Progress, refusal: Refusal): Refusal => {
   if (progress.tokens.length > 0) return { ...refusal, outcome: 'partial' };
   return progress.mayHaveRun ? { ...refusal, outcome: 'unknown' } : refusal;
 };
 
 /**
- * Relays a generation from upstreams to its caller. An upstream that fails in the middle is
- * replaced by another one that goes on after the tokens that were passed on already, so the caller
- * sees one answer without a gap or a repetition.
- * @param requestDigest names the request's content, to find out whether it kills upstreams
+ * Relays a generation from upstreams to its caller. If an upstream fails midway, another one
+ * resumes after the tokens that were already relayed, so the caller receives one answer without
+ * gaps or repetitions.
  */
 const newGenerationRelay = (options: RelayOptions) => {
   const { now, engine, directory, choice, suspects, budget } = options;
@@ -74,32 +73,32 @@
     return answer;
   };
 
-  /** @returns why the upstream failed; `unclear` when it ran nothing */
-  const noteFault = async (
+  /** @returns why the upstream failed; `unclear` if it did not run the request */
+  const recordFault = async (
     upstream: Upstream,
     fault: UpstreamFault,
     requestDigest: string,
-  ): Promise<BreakCause> => {
+  ): Promise<FailureCause> => {
     directory.fail(upstream);
     if (isNotRun(fault)) return 'unclear';
-    const cause = await findCause(engine, directory, upstream);
+    const cause = await findFailureCause(engine, directory, upstream);
     if (cause === 'died') suspects.add(requestDigest, upstream.status.id);
     return cause;
   };
 
   /**
-   * Whether one more attempt may be made. An upstream that is gone took all its requests down with
-   * it, once; going on elsewhere multiplies nothing, so only retries towards upstreams that are
-   * still there are charged to the budget.
+   * Whether another attempt may be made. Each request on an upstream that crashed or was reclaimed
+   * moves to another one once, which does not multiply load. Only retries after failures of
+   * upstreams that are still running are charged to the budget.
    */
-  const mayRetry = (attempts: number, cause: BreakCause | null): boolean => {
-    if (attempts >= MOST_ATTEMPTS) return false;
+  const mayRetry = (attempts: number, cause: FailureCause | null): boolean => {
+    if (attempts >= MAX_ATTEMPTS) return false;
     return cause !== 'unclear' || budget.spend();
   };
 
   const findRefusal = (
     attempts: number,
-    cause: BreakCause | null,
+    cause: FailureCause | null,
     digest: string,
   ): Refusal | null => {
     if (suspects.isDeadly(digest)) {
@@ -110,6 +109,9 @@
     return notRun('retries-used-up', message, now() + RETRY_AFTER_MS);
   };
 
+  /**
+   * @param requestDigest digest of the request's content, to detect requests that crash upstreams
+   */
   return async (
     generation: Generation,
     requestDigest: string,
@@ -118,14 +120,18 @@
   ): Promise<Result<EndEvent, Refusal>> => {
     const progress: Progress = { generation, tokens: [], mayHaveRun: false, tried: new Set() };
     budget.earn();
-    let cause: BreakCause | null = null;
+    let cause: FailureCause | null = null;
     for (let attempts = 0; ; attempts += 1) {
       const refusal = findRefusal(attempts, cause, requestDigest);
-      if (refusal) return Err(refusalOf(progress, refusal));
+      if (refusal) return Err(withOutcome(progress, refusal));
       const upstream = chooseUpstream(progress);
       if (!upstream) {
-        const none = notRun('no-upstream', 'no upstream can take it now', now() + RETRY_AFTER_MS);
-        return Err(refusalOf(progress, none));
+        const noUpstream = notRun(
+          'no-upstream',
+          'no upstream can take it now',
+          now() + RETRY_AFTER_MS,
+        );
+        return Err(withOutcome(progress, noUpstream));
       }
       progress.tried.add(upstream.status.id);
       const answer = await attempt(upstream, progress, onToken, signal);
@@ -135,9 +141,9 @@
       }
       progress.mayHaveRun ||= !isNotRun(answer.val);
       if (answer.val === 'cancelled') {
-        return Err(refusalOf(progress, notRun('caller-gone', 'the request was given up')));
+        return Err(withOutcome(progress, notRun('caller-gone', 'the request was given up')));
       }
-      cause = await noteFault(upstream, answer.val, requestDigest);
+      cause = await recordFault(upstream, answer.val, requestDigest);
     }
   };
 };
--- a/packages/routing/src/newLeastInFlightChoice.ts
+++ b/packages/routing/src/newLeastInFlightChoice.ts
@@ -1,12 +1,12 @@
 import type { Upstream } from '@cyclamengate/upstreams/upstream';
 import UpstreamChoice from './UpstreamChoice.js';
 
-/** Picks the one with the fewest of this host's own requests; the second baseline. */
+/** Chooses the upstream with the fewest requests of this host; a baseline for other policies. */
 const newLeastInFlightChoice = (): UpstreamChoice => {
   class LeastInFlightChoice extends UpstreamChoice {
     choose(candidates: readonly Upstream[]): Upstream | null {
-      const [least] = [...candidates].sort((left, right) => left.inFlight - right.inFlight);
-      return least ?? null;
+      const [leastLoaded] = [...candidates].sort((left, right) => left.inFlight - right.inFlight);
+      return leastLoaded ?? null;
     }
   }
   return new LeastInFlightChoice();
--- a/packages/routing/src/newRandomChoice.ts
+++ b/packages/routing/src/newRandomChoice.ts
@@ -1,7 +1,7 @@
 import type { Upstream } from '@cyclamengate/upstreams/upstream';
 import UpstreamChoice from './UpstreamChoice.js';
 
-/** Picks blindly; the baseline that other policies are measured against. */
+/** Chooses an upstream at random; a baseline for other policies. */
 const newRandomChoice = (random: () => number): UpstreamChoice => {
   class RandomChoice extends UpstreamChoice {
     choose(candidates: readonly Upstream[]): Upstream | null {
--- a/packages/routing/src/newRetryBudget.ts
+++ b/packages/routing/src/newRetryBudget.ts
@@ -1,23 +1,23 @@
-/** Retries that each first attempt earns. */
+/** Retries earned per first attempt. */
 const RETRIES_PER_REQUEST = 0.1;
-const MOST_SAVED = 20;
-const AT_START = 5;
+const MAX_SAVED_RETRIES = 20;
+const INITIAL_RETRIES = 5;
 
 /**
- * A budget for retries. Upstreams that fail under load get every request again from every host, and
- * that makes the load worse. Each host may retry a tenth of what it was asked, so all hosts together
- * send at most a tenth more than without retries, however many they are.
+ * A budget for retries. If every host retried every request at upstreams that fail under load, the
+ * load would grow further. Each host may retry a tenth of its requests, so retries add at most a
+ * tenth to the total load, regardless of the number of hosts.
  */
 const newRetryBudget = () => {
-  let saved = AT_START;
+  let available = INITIAL_RETRIES;
   return {
     earn: (): void => {
-      saved = Math.min(MOST_SAVED, saved + RETRIES_PER_REQUEST);
+      available = Math.min(MAX_SAVED_RETRIES, available + RETRIES_PER_REQUEST);
     },
-    /** @returns whether a retry may be made */
+    /** @returns whether a retry is allowed */
     spend: (): boolean => {
-      if (saved < 1) return false;
-      saved -= 1;
+      if (available < 1) return false;
+      available -= 1;
       return true;
     },
   };
--- a/packages/routing/src/newServiceRelay.ts
+++ b/packages/routing/src/newServiceRelay.ts
@@ -10,7 +10,7 @@
 import type { Refusal } from './refusal.js';
 import type UpstreamChoice from './UpstreamChoice.js';
 
-const MOST_ATTEMPTS = 3;
+const MAX_ATTEMPTS = 3;
 const RETRY_AFTER_MS = 2_000;
 
 export interface ServiceRelayOptions {
@@ -21,7 +21,7 @@
   budget: RetryBudget;
 }
 
-const refusalOf = (fault: UpstreamFault | null, mayHaveRun: boolean, now: number): Refusal => {
+const buildRefusal = (fault: UpstreamFault | null, mayHaveRun: boolean, now: number): Refusal => {
   const retryAt = now + RETRY_AFTER_MS;
   if (mayHaveRun) {
     return {
@@ -37,7 +37,7 @@
 };
 
 /**
- * Relays calls to plain services. A call that may not be repeated is sent again only while it is
+ * Relays calls to plain services. A call that may not be repeated is only sent again if it is
  * certain that no byte of it has reached an upstream.
  */
 const newServiceRelay = (options: ServiceRelayOptions) => {
@@ -50,9 +50,9 @@
     signal: AbortSignal,
   ): Promise<Result<ServiceAnswer, Refusal>> => {
     let mayHaveRun = false;
-    let last: UpstreamFault | null = null;
+    let lastFault: UpstreamFault | null = null;
     budget.earn();
-    for (let attempts = 0; attempts < MOST_ATTEMPTS; attempts += 1) {
+    for (let attempts = 0; attempts < MAX_ATTEMPTS; attempts += 1) {
       if (attempts > 0 && !budget.spend()) break;
       const upstream = choice.choose(directory.usable(service), {
         prefixKey: call.path,
@@ -66,12 +66,12 @@
         directory.succeed(upstream);
         return Ok(answer.val);
       }
-      last = answer.val;
-      mayHaveRun ||= !isNotRun(last);
-      if (last !== 'cancelled') directory.fail(upstream);
-      if (last === 'cancelled' || (mayHaveRun && !mayRepeat)) break;
+      lastFault = answer.val;
+      mayHaveRun ||= !isNotRun(lastFault);
+      if (lastFault !== 'cancelled') directory.fail(upstream);
+      if (lastFault === 'cancelled' || (mayHaveRun && !mayRepeat)) break;
     }
-    return Err(refusalOf(last, mayHaveRun, now()));
+    return Err(buildRefusal(lastFault, mayHaveRun, now()));
   };
 };
 
--- a/packages/routing/src/refusal.ts
+++ b/packages/routing/src/refusal.ts
@@ -1,6 +1,6 @@
 import type { Priority } from '@cyclamengate/upstreams/generation';
 
-/** What is known of a request that got no whole answer. */
+/** What is known about a request that got no complete answer. */
 export type RequestOutcome = 'not-run' | 'unknown' | 'partial';
 
 export type RefusalCode =
@@ -26,12 +26,12 @@
   | 'caller-gone'
   | 'leaving';
 
-/** A final answer other than the whole one. Given at once, never held back. */
+/** The final reply to a request that got no complete answer, sent without delay. */
 export interface Refusal {
   code: RefusalCode;
   outcome: RequestOutcome;
   message: string;
-  /** When the caller may come back, on the monotonic clock; null where it makes no difference. */
+  /** When the caller may retry, on the monotonic clock; null if the time makes no difference. */
   retryAt: number | null;
 }
 
@@ -62,12 +62,12 @@
 /** The HTTP status of a refusal. */
 export const statusOf = ({ code }: Refusal): number => STATUS_BY_CODE[code];
 
-/** A refusal of something that certainly has not run. */
+/** Creates a refusal of a request that certainly has not run. */
 export const notRun = (
   code: RefusalCode,
   message: string,
   retryAt: number | null = null,
 ): Refusal => ({ code, outcome: 'not-run', message, retryAt });
 
-/** The classes of work, most urgent first. */
+/** The priorities, most urgent first. */
 export const PRIORITIES: readonly Priority[] = ['interactive', 'background', 'training'];
--- a/packages/routing/src/ticket.ts
+++ b/packages/routing/src/ticket.ts
@@ -1,12 +1,12 @@
 import type { Priority } from '@cyclamengate/upstreams/generation';
 
-/** One request in the queue. */
+/** A request to be queued, with the data that queueing depends on. */
 export interface Ticket {
   customer: string;
   priority: Priority;
   /** Estimated cost, in tokens. */
   cost: number;
-  /** It must have started by then; on the monotonic clock. */
+  /** Time by which the request must have started, on the monotonic clock. */
   deadline: number;
   isGivenUp: boolean;
 }
--- a/packages/routing/tests/newAdmission.test.ts
+++ b/packages/routing/tests/newAdmission.test.ts
@@ -8,7 +8,7 @@
 
 const HOLD_MS = 100;
 
-const newBench = (limit = 1_000, policy: QueuePolicyName = 'fair') => {
+const newTestAdmission = (limit = 1_000, policy: QueuePolicyName = 'fair') => {
   const clock = newManualClock();
   const subtree = subtreeSettingsSchema.parse({
     customers: [
@@ -58,9 +58,10 @@
   return { clock, admission, submit, started };
 };
 
-// A large customer sends a burst. First-in-first-out would put every other customer behind all of it.
-test('a burst of one customer does not stand in front of another', async (t) => {
-  const { clock, submit, started } = newBench();
+// One customer sends a burst. In a first-in-first-out queue all other customers would wait behind
+// it.
+test('a burst of one customer does not delay another', async (t) => {
+  const { clock, submit, started } = newTestAdmission();
   const large = Array.from({ length: 50 }, () => submit('large'));
   await settle();
   const small = submit('small');
@@ -72,7 +73,7 @@
 });
 
 test('a customer that was idle earns no credit for it', async (t) => {
-  const { clock, submit, started } = newBench();
+  const { clock, submit, started } = newTestAdmission();
   const first = Array.from({ length: 40 }, () => submit('large'));
   await clock.advance(HOLD_MS * 10);
   const burst = Array.from({ length: 20 }, () => submit('small'));
@@ -85,10 +86,10 @@
   await Promise.all([...first, ...burst]);
 });
 
-// The queue is long and a caller can't wait for it. Held until its deadline it would learn nothing
-// sooner, and its resend would come too late.
-test('a request that can not start in time is refused at once, with a time to come back', async (t) => {
-  const { clock, submit } = newBench();
+// The estimated wait exceeds the caller's deadline. If the refusal came only at the deadline, the
+// caller's retry would be too late.
+test('a request that cannot start before its deadline is refused at once with a retry time', async (t) => {
+  const { clock, submit } = newTestAdmission();
   const queued = Array.from({ length: 100 }, () => submit('large'));
   await settle();
   const before = clock.now();
@@ -103,10 +104,10 @@
   await Promise.all(queued);
 });
 
-// The estimate was wrong and the deadline passes in the queue. If the request were started all the
-// same later on, the caller would have been told "not run" of something that ran.
+// The wait was underestimated and the deadline passes in the queue. If the request still started
+// later, the caller would have been told "not run" for a request that ran.
 test('a request refused in the queue never starts afterwards', async (t) => {
-  const { clock, admission, submit, started } = newBench();
+  const { clock, admission, submit, started } = newTestAdmission();
   admission.setSlots(0);
   const waiting = submit('small', { deadline: clock.now() + 1_000 });
   await clock.advance(1_001);
@@ -117,8 +118,8 @@
   t.deepEqual(started, []);
 });
 
-test('while no upstream is usable a request waits for one, but not for long', async (t) => {
-  const { clock, admission, submit } = newBench();
+test('while no upstream is usable a request waits for a limited time', async (t) => {
+  const { clock, admission, submit } = newTestAdmission();
   admission.setSlots(0);
   const early = submit('small');
   await clock.advance(1_000);
@@ -132,8 +133,8 @@
   t.is(refused.ok ? '' : refused.val.code, 'no-upstream');
 });
 
-test('a customer never runs more at once than its limit', async (t) => {
-  const { clock, submit, started } = newBench(1);
+test('a customer never runs more concurrent requests than its limit', async (t) => {
+  const { clock, submit, started } = newTestAdmission(1);
   const all = [submit('large'), submit('large'), submit('large')];
   await settle();
   t.is(started.length, 1);
@@ -142,13 +143,13 @@
   t.is(started.length, 3);
 });
 
-test('a caller that goes away while it waits is not run', async (t) => {
-  const { clock, submit, started } = newBench();
+test('a queued request does not run after its caller disconnects', async (t) => {
+  const { clock, submit, started } = newTestAdmission();
   const first = [submit('large'), submit('large')];
-  const gone = new AbortController();
-  const waiting = submit('small', {}, gone.signal);
+  const disconnect = new AbortController();
+  const waiting = submit('small', {}, disconnect.signal);
   await settle();
-  gone.abort();
+  disconnect.abort();
   const refused = await waiting;
   t.is(refused.ok ? '' : refused.val.code, 'caller-gone');
   await clock.advance(HOLD_MS * 4);
--- a/packages/routing/tests/newCallClaims.test.ts
+++ b/packages/routing/tests/newCallClaims.test.ts
@@ -9,17 +9,17 @@
 const newHost = (log: MemoryLog, clock: ManualClock, name: string) =>
   newCallClaims(clock, newLogHost(log, clock, name).writer);
 
-const newBench = () => {
+const newTestClaims = () => {
   const log = newMemoryLog();
   const clock = newManualClock();
   const [first, second] = ['one', 'two'].map((name) => newHost(log, clock, name));
   return { log, clock, first: first!, second: second! };
 };
 
-// A caller books a deposit, hears nothing and sends it again through another failure domain while the
-// first is still under way. The naive way runs it at both hosts.
-test('the same idempotency key at two hosts at once runs at one', async (t) => {
-  const { clock, first, second } = newBench();
+// A caller gets no answer to a deposit and sends it again through another failure domain while the
+// first call is still running. Without a claim it runs at both hosts.
+test('concurrent calls with one idempotency key at two hosts run at one host', async (t) => {
+  const { clock, first, second } = newTestClaims();
   const claims = Promise.all([first('ledger', 'k1', 'd'), second('ledger', 'k1', 'd')]);
   await clock.advance(500);
   const [one, two] = await claims;
@@ -28,8 +28,8 @@
   t.is(refused && !refused.ok ? refused.val.outcome : '', 'unknown');
 });
 
-test('a call that never left the host may be claimed again, one that may have run may not', async (t) => {
-  const { clock, first, second } = newBench();
+test('a call can be claimed again if it was not sent, but not if it may have run', async (t) => {
+  const { clock, first, second } = newTestClaims();
   const claim = async (host: typeof first, key: string) => {
     const claiming = host('ledger', key, 'd');
     await clock.advance(300);
@@ -45,9 +45,10 @@
   t.false((await claim(second, 'k2')).ok);
 });
 
-// The log is out when the call comes. Running it without a claim could run it twice.
-test('in an outage of the log the call is refused as not run, and runs later', async (t) => {
-  const { log, clock, first, second } = newBench();
+// The log is unavailable when the call arrives. Running the call without a claim could run it
+// twice.
+test('during a log outage the call is refused as not run and can be claimed afterwards', async (t) => {
+  const { log, clock, first, second } = newTestClaims();
   log.isDown = true;
   const claiming = first('ledger', 'k1', 'd');
   await clock.advance(4_000);
@@ -61,9 +62,10 @@
   t.true((await again).ok);
 });
 
-// The claim's answer is lost and the record lands after the host gave up and said "not run".
-test('a claim that lands after it was given up licenses no run', async (t) => {
-  const { log, clock, first, second } = newBench();
+// The reply to the claim is lost, and the record is written after the host refused the call as not
+// run.
+test('a claim that is written after it was abandoned does not permit a run', async (t) => {
+  const { log, clock, first, second } = newTestClaims();
   log.fate = (bodies) =>
     bodies.some((body) => body.includes('call-claim')) ? 'lands-late' : 'lands';
   const claiming = first('ledger', 'k1', 'd');
--- a/packages/routing/tests/newGenerationRelay.test.ts
+++ b/packages/routing/tests/newGenerationRelay.test.ts
@@ -1,65 +1,69 @@
 import type { UpstreamFault } from '@cyclamengate/upstreams/upstreamFault';
 import test from 'ava';
-import { newRelayBench, whole } from './relayHelpers.js';
+import { newTestRelay, completes } from './relayHelpers.js';
 import type { Script } from './relayHelpers.js';
 
-const SIX = ['t0', 't1', 't2', 't3', 't4', 't5'];
-const fails = (fault: UpstreamFault, tokens = 0, dies = false): Script => ({ tokens, fault, dies });
+const SIX_TOKENS = ['t0', 't1', 't2', 't3', 't4', 't5'];
+const fails = (fault: UpstreamFault, tokens = 0, dies = false): Script => ({
+  tokens,
+  fault,
+  crashes: dies,
+});
 
-// An engine crashes in the middle of a stream. A caller would see an answer that just stops, or one
-// that begins again after it had half of it.
-test('an answer goes on elsewhere after the tokens that were passed on already', async (t) => {
-  const { ask, engine } = newRelayBench({ a: [fails('broken', 3)], b: [whole] });
+// An engine crashes in the middle of a stream. The caller would get a truncated answer, or one that
+// starts again from the beginning.
+test('an answer resumes at another upstream after the tokens that were already relayed', async (t) => {
+  const { ask, engine } = newTestRelay({ a: [fails('broken', 3)], b: [completes] });
   const { answer, tokens } = await ask();
   t.true(answer.ok);
-  t.deepEqual(tokens, SIX);
+  t.deepEqual(tokens, SIX_TOKENS);
   t.deepEqual(engine.calls[1]?.generation.prefix, ['t0', 't1', 't2']);
 });
 
 for (const fault of ['broken', 'silent', 'malformed'] as const) {
-  // Every upstream fails. What the caller reads decides whether it dares to send the request again.
-  test(`when all upstreams end as ${fault} the refusal does not claim that nothing ran`, async (t) => {
-    const { ask } = newRelayBench({ a: [fails(fault)], b: [fails(fault)] });
+  // All upstreams fail. Callers send a request again if they are told that it has not run.
+  test(`when all upstreams fail as ${fault} the refusal has an unknown outcome`, async (t) => {
+    const { ask } = newTestRelay({ a: [fails(fault)], b: [fails(fault)] });
     const { answer } = await ask();
     t.is(answer.ok ? '' : answer.val.outcome, 'unknown');
   });
 }
 
-test('a refusal says not run only when no upstream took the request', async (t) => {
-  const { ask } = newRelayBench({ a: [fails('refused')], b: [fails('not-sent')] });
+test('a refusal reports not run only if no upstream accepted the request', async (t) => {
+  const { ask } = newTestRelay({ a: [fails('refused')], b: [fails('not-sent')] });
   const { answer } = await ask();
   t.is(answer.ok ? '' : answer.val.outcome, 'not-run');
 });
 
-test('an answer that breaks off for good after some tokens is called partial', async (t) => {
-  const { ask } = newRelayBench({ a: [fails('broken', 2), fails('broken', 0)] });
+test('an answer that cannot be completed after some tokens is reported as partial', async (t) => {
+  const { ask } = newTestRelay({ a: [fails('broken', 2), fails('broken', 0)] });
   const { answer, tokens } = await ask();
   t.is(answer.ok ? '' : answer.val.outcome, 'partial');
   t.is(tokens.length, 2);
 });
 
-// A request makes every engine that runs it crash, and its caller sends it again and again. Without a
-// memory of it, one caller takes down the whole fleet.
-test('a request is refused for good after the second upstream that died of it', async (t) => {
+// A request crashes every engine that runs it, and its caller keeps sending it. If the request were
+// not remembered, one caller could take down all engines.
+test('a request is refused permanently after crashing a second upstream', async (t) => {
   const dies = [fails('broken', 1, true)];
-  const { ask, engine } = newRelayBench({ a: dies, b: dies, c: [whole], d: [whole] });
+  const { ask, engine } = newTestRelay({ a: dies, b: dies, c: [completes], d: [completes] });
   const { answer } = await ask('poison');
   t.is(answer.ok ? '' : answer.val.code, 'deadly-request');
-  t.is(engine.dead.size, 2);
+  t.is(engine.crashed.size, 2);
   const again = await ask('poison');
   t.is(again.answer.ok ? '' : again.answer.val.code, 'deadly-request');
   t.is(again.answer.ok ? '' : again.answer.val.outcome, 'not-run');
-  t.is(engine.dead.size, 2);
+  t.is(engine.crashed.size, 2);
   t.true((await ask('another request')).answer.ok);
 });
 
-// A zone of cheap upstreams is taken back while they run requests, or the network to them is cut.
-// Requests that merely were there must not be refused for ever.
-test('reclaimed, unreachable and flaky upstreams put no request under suspicion', async (t) => {
-  const reclaimed = newRelayBench({
+// All cheap upstreams of a zone are reclaimed while they run requests, or become unreachable.
+// Requests that happened to run there must not be refused permanently.
+test('reclaimed, unreachable and flaky upstreams make no request a suspect', async (t) => {
+  const reclaimed = newTestRelay({
     a: [fails('broken', 1, true)],
     b: [fails('broken', 1, true)],
-    c: [whole],
+    c: [completes],
   });
   reclaimed.list(true);
   reclaimed.directory.all().forEach((upstream) => {
@@ -70,14 +74,14 @@
   await first;
   t.false(reclaimed.suspects.isDeadly('innocent'));
 
-  const flaky = newRelayBench({ a: [fails('broken', 1)], b: [fails('silent', 1)], c: [whole] });
+  const flaky = newTestRelay({ a: [fails('broken', 1)], b: [fails('silent', 1)], c: [completes] });
   t.true((await flaky.ask('innocent')).answer.ok);
   t.deepEqual(flaky.suspects.tell(), []);
 });
 
-// All upstreams fail under load. If every request went to four of them, the load would grow fourfold.
-test('retries stop when the budget is used up', async (t) => {
-  const { ask, engine, directory } = newRelayBench({
+// All upstreams fail under load. If every request were sent to four of them, load would quadruple.
+test('retries stop when the budget is exhausted', async (t) => {
+  const { ask, engine, directory } = newTestRelay({
     a: [fails('refused')],
     b: [fails('refused')],
   });
@@ -88,18 +92,18 @@
   t.true(engine.calls.length <= 40 * 1.1 + 6, `${engine.calls.length} attempts for 40 requests`);
 });
 
-// A zone is taken back while twelve requests run on it. With a budget for retries that an idle entry
-// has hardly earned, most of their callers would see a broken answer.
-test('requests of an upstream that was taken away go on elsewhere without a budget', async (t) => {
-  const { ask, directory } = newRelayBench({ a: [fails('broken', 2)], b: [whole] });
-  const [taken] = directory.all();
+// A zone is reclaimed while twelve requests run on it. An entry that was idle has hardly any retry
+// budget, so most of the callers would get truncated answers if moving cost budget.
+test('requests on a reclaimed upstream resume elsewhere without using the retry budget', async (t) => {
+  const { ask, directory } = newTestRelay({ a: [fails('broken', 2)], b: [completes] });
+  const [reclaimed] = directory.all();
   for (let count = 0; count < 12; count += 1) {
-    taken!.status = { ...taken!.status, state: 'live' };
-    directory.succeed(taken!);
+    reclaimed!.status = { ...reclaimed!.status, state: 'live' };
+    directory.succeed(reclaimed!);
     const asking = ask(`request ${count}`);
-    taken!.status = { ...taken!.status, state: 'leaving' };
+    reclaimed!.status = { ...reclaimed!.status, state: 'leaving' };
     const { answer, tokens } = await asking;
     t.true(answer.ok);
-    t.deepEqual(tokens, SIX);
+    t.deepEqual(tokens, SIX_TOKENS);
   }
 });
--- a/packages/routing/tests/relayHelpers.ts
+++ b/packages/routing/tests/relayHelpers.ts
@@ -13,21 +13,21 @@
 import newLeastInFlightChoice from '../src/newLeastInFlightChoice.js';
 import newRetryBudget from '../src/newRetryBudget.js';
 
-/** What one upstream does with a generation: tokens before a fault, or a whole answer. */
+/** How an upstream handles a generation: tokens before a fault, or a complete answer. */
 export interface Script {
   tokens: number;
   fault: UpstreamFault | null;
-  /** Whether it refuses connections afterwards. */
-  dies: boolean;
+  /** Whether the upstream refuses connections afterwards. */
+  crashes: boolean;
 }
 
-export const whole: Script = { tokens: Infinity, fault: null, dies: false };
+export const completes: Script = { tokens: Infinity, fault: null, crashes: false };
 
 /** Engines that follow scripts by URL; the last script of a list repeats. */
 export class ScriptedEngine extends ModelEngine {
   readonly calls: { url: string; generation: Generation }[] = [];
 
-  readonly dead = new Set<string>();
+  readonly crashed = new Set<string>();
 
   constructor(private readonly scripts: Map<string, Script[]>) {
     super();
@@ -38,22 +38,22 @@
     generation: Generation,
     onToken: (token: TokenEvent) => Promise<void>,
   ): Promise<Result<EndEvent, UpstreamFault>> {
-    if (this.dead.has(url)) return Err('not-sent');
+    if (this.crashed.has(url)) return Err('not-sent');
     this.calls.push({ url, generation });
-    const scripts = this.scripts.get(url) ?? [whole];
-    const script = scripts.length > 1 ? scripts.shift()! : (scripts[0] ?? whole);
+    const scripts = this.scripts.get(url) ?? [completes];
+    const script = scripts.length > 1 ? scripts.shift()! : (scripts[0] ?? completes);
     const { requestId, maxTokens, prefix } = generation;
     const end = Math.min(maxTokens, prefix.length + script.tokens);
     for (let index = prefix.length; index < end; index += 1) {
       await onToken({ requestId, index, text: `t${index}`, version: 1 });
     }
-    if (script.dies) this.dead.add(url);
+    if (script.crashes) this.crashed.add(url);
     if (script.fault) return Err(script.fault);
     return Ok({ requestId, tokens: maxTokens, finishReason: 'length' });
   }
 
   async readStatus(url: string): Promise<Result<EngineStatus, UpstreamFault>> {
-    if (this.dead.has(url)) return Err('not-sent');
+    if (this.crashed.has(url)) return Err('not-sent');
     return Ok({ id: url, active: 0, slots: 8, isLeaving: false, versions: {}, loading: {} });
   }
 
@@ -65,7 +65,7 @@
 const DOMAIN = 'argos-c';
 
 /** A relay over scripted upstreams. */
-export const newRelayBench = (scripts: Record<string, Script[]>) => {
+export const newTestRelay = (scripts: Record<string, Script[]>) => {
   const clock = newManualClock();
   const subtree = subtreeSettingsSchema.parse({
     services: [{ id: 'tone', type: 'model', pools: [{ failureDomain: DOMAIN }] }],
