--- a/packages/gateway/src/findRoute.ts
+++ b/packages/gateway/src/findRoute.ts
@@ -1,7 +1,7 @@
 import type { EffectiveSettings } from './newSettingsView.js';
 import type { Customer, Route } from './operatorSettings.js';
 
-/** The route of a host name whose prefix is the longest that begins the path. */
+/** Finds the host name's route with the longest prefix that matches the path. */
 export const findRoute = (
   effective: EffectiveSettings,
   hostName: string,
@@ -12,9 +12,10 @@
   return routes.find(({ pathPrefix }) => pathOnly.startsWith(pathPrefix)) ?? null;
 };
 
-/** Who calls: a customer, nobody in particular, or somebody without a right to. */
+/** An authenticated customer, or anyone if no key is required. */
 export type Caller = { type: 'customer'; customer: Customer } | { type: 'anyone' };
 
+/** Identifies the caller by its key; null if a valid key is required but missing. */
 export const findCaller = (
   effective: EffectiveSettings,
   route: Route | null,
@@ -26,15 +27,17 @@
 };
 
 /**
- * Which service a route's request goes to, by the parts of its splits. The same id always gets the
- * same service, so that a repetition does not wander.
+ * Chooses the service for a request among the route's splits, in proportion to their weights. The
+ * same seed always selects the same service, so that a repeated request goes to the same one.
+ *
+ * @param seed number from 0 to below 1
  */
 export const pickService = (route: Route, seed: number): string | null => {
   const total = route.splits.reduce((sum, { weight }) => sum + weight, 0);
-  let left = seed * total;
+  let remaining = seed * total;
   const picked = route.splits.find(({ weight }) => {
-    left -= weight;
-    return left < 0;
+    remaining -= weight;
+    return remaining < 0;
   });
   return (picked ?? route.splits.at(-1))?.service ?? null;
 };
--- a/packages/gateway/src/newCandidates.ts
+++ b/packages/gateway/src/newCandidates.ts
@@ -12,7 +12,9 @@
   isConnected: (entry: UpstreamEntry) => boolean;
 }
 
-/** Puts together what is known of a service's upstreams. Draining ones take no new work. */
+/**
+ * Collects load and health of a service's upstreams, except draining ones and those already tried.
+ */
 const newCandidates = (options: CandidateOptions) => {
   const { directory, health, loads, failureDomain, isConnected } = options;
 
--- a/packages/gateway/src/newEventSplitter.ts
+++ b/packages/gateway/src/newEventSplitter.ts
@@ -1,30 +1,30 @@
 const EVENT_END = Buffer.from('\n\n');
 const ID_LINE = /^id: ?(.*)$/gm;
 
-export interface WholeEvents {
-  /** Bytes of the events that are whole now. */
+export interface CompleteEvents {
+  /** Bytes of the events that are now complete. */
   bytes: Buffer;
-  /** Id of the last of them; null where none is new. */
+  /** Id of the last of these events that has one; null if none has. */
   lastId: string | null;
-  /** Whether no part of a further event has arrived. */
+  /** Whether no partial event is pending. */
   isBetweenEvents: boolean;
 }
 
-/** Cuts a stream of events at their ends, so that only whole ones are passed on. */
+/** Splits a stream at event boundaries, so that only complete events are forwarded. */
 const newEventSplitter = () => {
-  let rest: Buffer = Buffer.alloc(0);
+  let pending: Buffer = Buffer.alloc(0);
 
-  return (chunk: Buffer): WholeEvents => {
-    rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
-    const cut = rest.lastIndexOf(EVENT_END);
+  return (chunk: Buffer): CompleteEvents => {
+    pending = pending.length === 0 ? chunk : Buffer.concat([pending, chunk]);
+    const cut = pending.lastIndexOf(EVENT_END);
     const end = cut === -1 ? 0 : cut + EVENT_END.length;
-    const bytes = rest.subarray(0, end);
-    rest = rest.subarray(end);
+    const bytes = pending.subarray(0, end);
+    pending = pending.subarray(end);
     const ids = [...bytes.toString('utf8').matchAll(ID_LINE)];
     return {
       bytes,
       lastId: ids.at(-1)?.[1]?.trim() ?? null,
-      isBetweenEvents: rest.length === 0,
+      isBetweenEvents: pending.length === 0,
     };
   };
 };
--- a/packages/gateway/src/newPlainRelay.ts
+++ b/packages/gateway/src/newPlainRelay.ts
@@ -7,34 +7,34 @@
 import type UpstreamClient from '@cyclamengate/engines/UpstreamClient';
 import type { UpstreamRequest } from '@cyclamengate/engines/UpstreamClient';
 import type { Candidates } from './newCandidates.js';
-import readWhole from './readWhole.js';
+import readAnswerBody from './readAnswerBody.js';
 import { notRun, uncertain } from './refusal.js';
 import type { Refusal } from './refusal.js';
 
-/** A caller that finds no upstream comes back after this long; about a registry's update. */
-const NO_UPSTREAM_RETRY_MS = 250;
-/** A second upstream is asked once the first has been silent for so many times the usual pace. */
-const HEDGE_PACES = 2.5;
-/** Half of the usual target of 190 ms; most calls take 45 ms, one in a hundred 180 ms. */
-const SHORTEST_HEDGE_MS = 100;
-/** Timers fire up to a millisecond early, and some late. */
+/** Retry delay for callers if there is no upstream; about the time of a registry update. */
+const NO_UPSTREAM_RETRY_DELAY_MS = 250;
+/** A hedged request is sent after this multiple of the first upstream's usual latency. */
+const HEDGE_LATENCY_FACTOR = 2.5;
+/** Half of the usual latency target of 190 ms; most calls take 45 ms, one in a hundred 180 ms. */
+const MIN_HEDGE_DELAY_MS = 100;
+/** Timers fire up to 1 ms early, and some fire late. */
 const TIMER_SLACK_MS = 5;
 /**
- * An upstream ends its work at the deadline that it was told and says so some milliseconds later. To
- * wait for that keeps the connection, and passes on an answer that was just ready.
+ * An upstream stops at the deadline it was given and reports this a few milliseconds later. Waiting
+ * for that report keeps the connection open and relays an answer that was completed just in time.
  */
-const LAST_ANSWER_MS = 40;
-/** A request that may not be repeated is given up only at its deadline; others sooner. */
-const SILENT_MS = 1_000;
+const DEADLINE_GRACE_MS = 40;
+/** For repeatable requests; others are only abandoned at their deadline. */
+const FIRST_BYTE_TIMEOUT_MS = 1_000;
 
 /**
- * Once a request is answered, another upstream that is at work on it may end that within this: mostly
- * it is nearly done, and to break it off would cost its connection, which the next request needs.
+ * Time that a redundant attempt gets to finish once the request is answered: it is usually nearly
+ * done, and aborting it would close its connection, which the next request needs.
  */
-const SECOND_ANSWER_MS = 300;
+const REDUNDANT_ATTEMPT_GRACE_MS = 300;
 
-/** A whole answer of an upstream. */
-export interface WholeAnswer {
+/** An upstream's answer with its complete body. */
+export interface CompleteAnswer {
   status: number;
   headers: Record<string, string>;
   signature: string | null;
@@ -42,7 +42,7 @@
 }
 
 export type RelayOutcome =
-  | { type: 'answer'; answer: WholeAnswer; upstream: string; upstreams: number }
+  | { type: 'answer'; answer: CompleteAnswer; upstream: string; upstreams: number }
   | { type: 'refusal'; refusal: Refusal; hasRun: boolean; upstreams: number };
 
 export interface RelayedRequest extends Omit<UpstreamRequest, 'deadline'> {
@@ -50,7 +50,7 @@
   isIdempotent: boolean;
   mostUpstreams: number;
   deadline: number;
-  /** Least time before a second upstream is asked as well, in milliseconds. */
+  /** Minimum delay before a hedged request is sent, in milliseconds. */
   hedgeAfterMs?: number;
 }
 
@@ -64,22 +64,23 @@
 }
 
 type Attempt =
-  | { type: 'answer'; answer: WholeAnswer }
+  | { type: 'answer'; answer: CompleteAnswer }
   | { type: 'not-run'; reason: string }
   | { type: 'failed'; reason: string };
 
 /**
- * Gets one whole answer for one request from the upstreams of a service.
+ * Gets a complete answer to a request from the upstreams of a service.
  *
- * An upstream can go silent behind an open connection, and a caller would wait for all of its time.
- * A request that may be repeated is then sent to a second upstream as well, and the first whole
- * answer counts; the other one is ended soon after. A request that may not is sent on only when it is certain
- * that nothing ran.
+ * An upstream can become unresponsive while its connection stays open, and the caller would wait
+ * until its deadline. If the request may be repeated, a hedged request is sent to a second
+ * upstream; the first complete answer is used and the other attempt aborted soon after. A request
+ * that may not be repeated is only sent to another upstream if it is certain that it has not run.
  */
 const newPlainRelay = (options: PlainRelayOptions) => {
   const { clock, log, client, candidates, health, loads } = options;
 
-  const lastAnswerBy = ({ deadline }: RelayedRequest): number => deadline + LAST_ANSWER_MS;
+  const computeAnswerDeadline = ({ deadline }: RelayedRequest): number =>
+    deadline + DEADLINE_GRACE_MS;
 
   const attempt = async (
     candidate: Candidate,
@@ -88,26 +89,28 @@
   ): Promise<Attempt> => {
     const { entry } = candidate;
     const startedAt = clock.now();
-    const firstByteBy = request.isIdempotent
-      ? Math.min(lastAnswerBy(request), startedAt + SILENT_MS)
-      : lastAnswerBy(request);
+    const firstByteDeadline = request.isIdempotent
+      ? Math.min(computeAnswerDeadline(request), startedAt + FIRST_BYTE_TIMEOUT_MS)
+      : computeAnswerDeadline(request);
     loads.begin(entry.id);
     try {
-      const outcome = await client.send(entry, request, firstByteBy, signal);
+      const outcome = await client.send(entry, request, firstByteDeadline, signal);
       if (outcome.type === 'fault') {
         const { fault } = outcome;
-        const isUnwell = fault.type === 'unknown' || fault.isUnreachable;
-        // A deadline that passes early tells of the caller's haste, not of the upstream.
-        const isHasty =
-          clock.now() >= request.deadline - TIMER_SLACK_MS && clock.now() < startedAt + SILENT_MS;
-        if (isUnwell && !isHasty && !signal.aborted) health.failed(entry.id, fault.reason);
+        const isUpstreamFailure = fault.type === 'unknown' || fault.isUnreachable;
+        // A caller's deadline that is shorter than the timeout does not indicate a failure.
+        const isShortDeadline =
+          clock.now() >= request.deadline - TIMER_SLACK_MS &&
+          clock.now() < startedAt + FIRST_BYTE_TIMEOUT_MS;
+        if (isUpstreamFailure && !isShortDeadline && !signal.aborted)
+          health.failed(entry.id, fault.reason);
         return fault.type === 'not-run'
           ? { type: 'not-run', reason: fault.reason }
           : { type: 'failed', reason: fault.reason };
       }
       const { answer } = outcome;
       if (answer.load) loads.report(entry.id, answer.load);
-      const body = await readWhole(answer);
+      const body = await readAnswerBody(answer);
       if (body === null) {
         if (!signal.aborted) health.failed(entry.id, 'answer broken off');
         return { type: 'failed', reason: 'answer broken off' };
@@ -125,43 +128,43 @@
     }
   };
 
-  const hedgeMs = ({ pace }: Candidate, { hedgeAfterMs = 0 }: RelayedRequest): number =>
-    Math.max(hedgeAfterMs, SHORTEST_HEDGE_MS, pace === null ? 0 : pace * HEDGE_PACES);
+  const computeHedgeDelayMs = ({ pace }: Candidate, { hedgeAfterMs = 0 }: RelayedRequest): number =>
+    Math.max(hedgeAfterMs, MIN_HEDGE_DELAY_MS, pace === null ? 0 : pace * HEDGE_LATENCY_FACTOR);
 
-  /** A failure of the upstream's own making is worth another try where that is allowed. */
+  /** An answer is final unless it is a server error, which is retried if that is allowed. */
   const isFinal = (result: Attempt): boolean =>
     result.type === 'answer' && result.answer.status < 500;
 
   return async (request: RelayedRequest, signal: AbortSignal): Promise<RelayOutcome> => {
     const tried = new Set<string>();
-    const started = new Set<AbortController>();
-    const running = new Set<Promise<{ result: Attempt; by: Candidate }>>();
+    const controllers = new Set<AbortController>();
+    const running = new Set<Promise<{ result: Attempt; candidate: Candidate }>>();
     let hasRun = false;
-    let lastFailure: WholeAnswer | null = null;
+    let lastFailure: CompleteAnswer | null = null;
     let lastReason = 'no upstream';
     let lastUpstream = '';
 
-    const start = (candidate: Candidate): Promise<{ result: Attempt; by: Candidate }> => {
+    const start = (candidate: Candidate): Promise<{ result: Attempt; candidate: Candidate }> => {
       tried.add(candidate.entry.id);
       const controller = new AbortController();
-      started.add(controller);
+      controllers.add(controller);
       return attempt(candidate, request, AbortSignal.any([signal, controller.signal])).then(
-        (result) => ({ result, by: candidate }),
+        (result) => ({ result, candidate }),
       );
     };
 
-    const endAll = (): void => started.forEach((controller) => controller.abort('settled'));
+    const abortAll = (): void => controllers.forEach((controller) => controller.abort('settled'));
 
-    /** The caller's signal ends them at once where the caller leaves. */
-    const endOthers = async (outcome: RelayOutcome): Promise<void> => {
+    /** If the caller disconnects, its signal aborts the remaining attempts at once. */
+    const abortRemaining = async (outcome: RelayOutcome): Promise<void> => {
       if (outcome.type === 'answer' && running.size > 0) {
-        await clock.sleepUntil(clock.now() + SECOND_ANSWER_MS, signal);
+        await clock.sleepUntil(clock.now() + REDUNDANT_ATTEMPT_GRACE_MS, signal);
       }
-      endAll();
+      abortAll();
     };
 
     const finish = (outcome: RelayOutcome): RelayOutcome => {
-      endOthers(outcome);
+      abortRemaining(outcome);
       const fields = { requestId: request.requestId, service: request.service };
       if (outcome.type === 'refusal') {
         log.warn('request.refused', {
@@ -192,18 +195,21 @@
 
     let newest = startNext();
     while (running.size > 0) {
-      const hedging = new AbortController();
+      const hedgeTimer = new AbortController();
       const mayHedge = request.isIdempotent && running.size === 1 && newest !== null;
       const waitUntil = mayHedge
-        ? Math.min(lastAnswerBy(request), clock.now() + hedgeMs(newest as Candidate, request))
-        : lastAnswerBy(request);
+        ? Math.min(
+            computeAnswerDeadline(request),
+            clock.now() + computeHedgeDelayMs(newest as Candidate, request),
+          )
+        : computeAnswerDeadline(request);
       const first = await Promise.race([
         ...running,
-        clock.sleepUntil(waitUntil, hedging.signal).then(() => null),
+        clock.sleepUntil(waitUntil, hedgeTimer.signal).then(() => null),
       ]);
-      hedging.abort('answered');
+      hedgeTimer.abort('answered');
       if (first === null) {
-        if (clock.now() >= lastAnswerBy(request)) {
+        if (clock.now() >= computeAnswerDeadline(request)) {
           lastReason = 'deadline';
           return finish({
             type: 'refusal',
@@ -214,19 +220,19 @@
         }
         newest = startNext();
       } else {
-        const { result, by } = first;
+        const { result, candidate } = first;
         if (result.type === 'answer') {
           if (isFinal(result) || !mayStart()) {
             return finish({
               type: 'answer',
               answer: result.answer,
-              upstream: by.entry.id,
+              upstream: candidate.entry.id,
               upstreams: tried.size,
             });
           }
           hasRun = true;
           lastFailure = result.answer;
-          lastUpstream = by.entry.id;
+          lastUpstream = candidate.entry.id;
           lastReason = `status ${result.answer.status}`;
         } else {
           hasRun = hasRun || result.type === 'failed';
@@ -239,10 +245,10 @@
       const upstream = lastUpstream;
       return finish({ type: 'answer', answer: lastFailure, upstream, upstreams: tried.size });
     }
-    const isLate = clock.now() >= request.deadline - TIMER_SLACK_MS;
+    const isPastDeadline = clock.now() >= request.deadline - TIMER_SLACK_MS;
     const refusal = hasRun
-      ? uncertain(isLate ? 'deadline' : 'upstream-failed', isLate ? 504 : 502)
-      : notRun('no-upstream', NO_UPSTREAM_RETRY_MS);
+      ? uncertain(isPastDeadline ? 'deadline' : 'upstream-failed', isPastDeadline ? 504 : 502)
+      : notRun('no-upstream', NO_UPSTREAM_RETRY_DELAY_MS);
     return finish({ type: 'refusal', refusal, hasRun, upstreams: tried.size });
   };
 };
--- a/packages/gateway/src/newSettingsView.ts
+++ b/packages/gateway/src/newSettingsView.ts
@@ -1,23 +1,23 @@
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 import type { Customer, OperatorSettings, Route, Service } from './operatorSettings.js';
 
-/** Settings in force, arranged for look-up. */
+/** The settings in force, indexed for lookup. */
 export interface EffectiveSettings {
   settings: OperatorSettings;
-  /** Routes of a host name, longest prefix first. */
+  /** Routes by host name, longest prefix first. */
   routes: Map<string, Route[]>;
   services: Map<string, Service>;
   customersByKey: Map<string, Customer>;
 }
 
-const arrange = (settings: OperatorSettings): EffectiveSettings => {
+const indexSettings = (settings: OperatorSettings): EffectiveSettings => {
   const routes = new Map<string, Route[]>();
   settings.routes.forEach((route) => {
-    const same = routes.get(route.hostName) ?? [];
-    routes.set(route.hostName, [...same, route]);
+    const hostRoutes = routes.get(route.hostName) ?? [];
+    routes.set(route.hostName, [...hostRoutes, route]);
   });
-  routes.forEach((same) =>
-    same.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length),
+  routes.forEach((hostRoutes) =>
+    hostRoutes.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length),
   );
   const keys = (settings.customers ?? []).flatMap((customer) =>
     customer.keys.map((key): [string, Customer] => [key, customer]),
@@ -30,7 +30,7 @@
   };
 };
 
-/** The settings that are in force on this host. They never go back to an older version. */
+/** Holds the settings in force on this host, which are never replaced by an older version. */
 const newSettingsView = (log: EventLog) => {
   let effective: EffectiveSettings | null = null;
 
@@ -41,7 +41,7 @@
         log.warn('settings.older', { version: settings.version, inForce: before });
         return;
       }
-      effective = arrange(settings);
+      effective = indexSettings(settings);
       log.info('settings.in-force', {
         version: settings.version,
         before,
--- a/packages/gateway/src/newStreamRelay.ts
+++ b/packages/gateway/src/newStreamRelay.ts
@@ -11,12 +11,12 @@
 import type { Candidates } from './newCandidates.js';
 import newEventSplitter from './newEventSplitter.js';
 import type { RelayedRequest, RelayOutcome } from './newPlainRelay.js';
-import readWhole from './readWhole.js';
+import readAnswerBody from './readAnswerBody.js';
 import { notRun, uncertain } from './refusal.js';
 
-const NO_UPSTREAM_RETRY_MS = 250;
-/** An upstream that has sent nothing by then is silent; callers of streams leave after two seconds. */
-const FIRST_BYTE_MS = 1_500;
+const NO_UPSTREAM_RETRY_DELAY_MS = 250;
+/** Timeout for an upstream's first byte; callers of streams disconnect after 2 s. */
+const FIRST_BYTE_TIMEOUT_MS = 1_500;
 
 export interface StreamRelayOptions {
   clock: Clock;
@@ -27,14 +27,15 @@
   loads: Loads;
 }
 
-type RunEnd = 'whole' | 'broken' | 'not-run' | 'failed' | 'caller-gone';
+type AttemptEnd = 'whole' | 'broken' | 'not-run' | 'failed' | 'caller-gone';
 
 /**
- * Passes a stream of events on as they arrive.
+ * Relays a stream of events as they arrive.
  *
- * An upstream can break off in the middle of an event. Only whole events are passed on, so a stream
- * that may be resumed goes on at another upstream after its last whole event, within one answer; one
- * that may not ends with a closed connection, which the caller can't take for its end.
+ * An upstream's answer can end in the middle of an event. Only complete events are forwarded, so a
+ * resumable stream continues at another upstream after its last complete event, within one
+ * response. Any other stream is ended by destroying the connection, which the caller can't mistake
+ * for a regular end.
  */
 const newStreamRelay = (options: StreamRelayOptions) => {
   const { clock, log, client, candidates, health, loads } = options;
@@ -50,7 +51,7 @@
     let failure: { answer: UpstreamAnswer; body: Buffer; upstream: string } | null = null;
     let lastReason = 'no upstream';
 
-    const pass = async (answer: UpstreamAnswer): Promise<RunEnd> => {
+    const relayEvents = async (answer: UpstreamAnswer): Promise<AttemptEnd> => {
       const split = newEventSplitter();
       for await (const chunk of answer.body) {
         if (!response.headersSent) {
@@ -63,11 +64,11 @@
       return split(Buffer.alloc(0)).isBetweenEvents ? 'whole' : 'broken';
     };
 
-    const run = async ({ entry }: Candidate): Promise<RunEnd> => {
+    const runAttempt = async ({ entry }: Candidate): Promise<AttemptEnd> => {
       const outcome = await client.send(
         entry,
         { ...request, lastEventId, mustNotRepeat: !request.isIdempotent },
-        Math.min(request.deadline, clock.now() + FIRST_BYTE_MS),
+        Math.min(request.deadline, clock.now() + FIRST_BYTE_TIMEOUT_MS),
         signal,
       );
       if (signal.aborted) return 'caller-gone';
@@ -80,14 +81,14 @@
       const { answer } = outcome;
       if (answer.load) loads.report(entry.id, answer.load);
       if (answer.status >= 300) {
-        const body = await readWhole(answer);
+        const body = await readAnswerBody(answer);
         lastReason = `status ${answer.status}`;
         if (body === null) return 'broken';
         failure = { answer, body, upstream: entry.id };
         return 'failed';
       }
       try {
-        return await pass(answer);
+        return await relayEvents(answer);
       } catch (error) {
         if (!(error instanceof BrokenAnswer)) throw error;
         lastReason = error.message;
@@ -96,18 +97,18 @@
       }
     };
 
-    const mayGoOn = (): boolean =>
+    const mayStart = (): boolean =>
       !signal.aborted &&
       clock.now() < request.deadline &&
       tried.size < request.mostUpstreams &&
       (request.isIdempotent || !hasRun);
 
-    while (mayGoOn()) {
+    while (mayStart()) {
       const next = chooseUpstream(candidates(request.service, tried));
       if (!next) break;
       tried.add(next.entry.id);
       loads.begin(next.entry.id);
-      const end = await run(next);
+      const end = await runAttempt(next);
       loads.end(next.entry.id);
       if (end === 'whole') {
         response.end();
@@ -134,7 +135,7 @@
     }
     const refusal = hasRun
       ? uncertain('upstream-failed')
-      : notRun('no-upstream', NO_UPSTREAM_RETRY_MS);
+      : notRun('no-upstream', NO_UPSTREAM_RETRY_DELAY_MS);
     return { type: 'refusal', refusal, hasRun, upstreams };
   };
 };
--- a/packages/gateway/src/operatorSettings.ts
+++ b/packages/gateway/src/operatorSettings.ts
@@ -1,7 +1,7 @@
-/** What may be repeated, and how a route answers. */
+/** Whether a route's requests may be repeated, or whether they are batches. */
 export type RouteKind = 'idempotent' | 'non-idempotent' | 'batch';
 
-/** A part of a route's requests goes to this service. */
+/** A service that gets a fraction of a route's requests, in proportion to its weight. */
 export interface Split {
   service: string;
   weight: number;
@@ -13,45 +13,47 @@
   /** Begins and ends with a slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** The answer is a series of events. */
+  /** Whether the answer is a stream of events. */
   isStream: boolean;
-  /** A stream may be taken up again after its last event. */
+  /** Whether a stream may be resumed after its last event. */
   isResumable: boolean;
-  /** All events of a result must come from one version of the weights. */
+  /** Whether all events of a result must come from one version of the weights. */
   isSingleVersion: boolean;
-  /** Needs no key. */
+  /** Whether requests need no key. */
   isPublic: boolean;
-  /** Longest time that a caller is kept waiting, in milliseconds. */
+  /** Maximum time that a caller waits for an answer, in milliseconds. */
   timeoutMs: number;
-  /** Time within which an answer is worth most, in milliseconds. */
+  /** Latency target: answers within this time have the highest value, in milliseconds. */
   targetLatencyMs: number;
-  /** Upstreams to which one attempt of a caller may be sent. */
+  /** Maximum number of upstreams that one request of a caller may be sent to. */
   mostUpstreams: number;
-  /** Rank among routes; 0 goes first. */
+  /** Priority among routes; 0 is the highest. */
   priority: number;
   splits: Split[];
-  /** A batch's results are due so long after it was accepted, in milliseconds; 0 for none. */
+  /** Time after a batch is accepted until its results are due, in milliseconds; 0 for no limit. */
   resultsDueMs: number;
-  /** An item may be given up so long after its batch was accepted, in milliseconds; 0 for never. */
+  /**
+   * Time after a batch is accepted until its items may be abandoned, in milliseconds; 0 for never.
+   */
   retentionMs: number;
 }
 
-/** How many upstreams of a service may be ordered, and at what price. */
+/** Bounds on a service's upstreams per failure domain, and their prices. */
 export interface Scaling {
   least: number;
   most: number;
-  /** From order to service, in milliseconds. */
+  /** Time from an order until the upstream serves requests, in milliseconds. */
   bootMs: number;
-  /** Price of an upstream that may be reclaimed, as a part of the ordinary price; null for none. */
+  /** Price of a spot upstream as a fraction of the ordinary price; null if there are none. */
   spotPrice: number | null;
   domainPrices: Record<string, number>;
 }
 
 export interface Service {
   name: string;
-  /** Connections that one upstream accepts from all hosts together. */
+  /** Maximum number of connections that an upstream accepts from all hosts together. */
   mostConnections: number;
-  /** Models that its upstreams run; empty for a plain service. */
+  /** Models that the service's upstreams run; empty for a plain service. */
   models: string[];
   scaling: Scaling | null;
 }
@@ -62,7 +64,7 @@
   priority: number | null;
 }
 
-/** Bounds on what a caller may send, in bytes and milliseconds. */
+/** Limits on requests of callers, in bytes and milliseconds. */
 export interface Limits {
   mostHeaderBytes: number;
   mostBodyBytes: number;
@@ -70,12 +72,12 @@
   idleTimeoutMs: number;
 }
 
-/** The operator's settings, whole. */
+/** The complete settings of the operator. */
 export interface OperatorSettings {
   version: number;
   routes: Route[];
   services: Service[];
   limits: Limits;
-  /** Null where no customers are kept: requests then need no key. */
+  /** Null if no customers are defined; requests then need no key. */
   customers: Customer[] | null;
 }
--- a/packages/gateway/src/readWhole.ts
+++ b/packages/gateway/src/readAnswerBody.ts
@@ -1,8 +1,8 @@
 import BrokenAnswer from '@cyclamengate/engines/BrokenAnswer';
 import type { UpstreamAnswer } from '@cyclamengate/engines/UpstreamClient';
 
-/** An answer's whole body, or null when it broke off. */
-const readWhole = async (answer: UpstreamAnswer): Promise<Buffer | null> => {
+/** Reads an answer's complete body; null if the body is truncated. */
+const readAnswerBody = async (answer: UpstreamAnswer): Promise<Buffer | null> => {
   const chunks: Buffer[] = [];
   try {
     for await (const chunk of answer.body) chunks.push(chunk);
@@ -13,4 +13,4 @@
   return Buffer.concat(chunks);
 };
 
-export default readWhole;
+export default readAnswerBody;
--- a/packages/gateway/tests/helpers.ts
+++ b/packages/gateway/tests/helpers.ts
@@ -24,18 +24,18 @@
   models: [],
 });
 
-/** How one upstream behaves: what it sends, piece by piece, or why nothing. */
+/** Simulates an upstream's outcome for a request: an answer or a fault. */
 export type Behaviour = (request: UpstreamRequest, signal: AbortSignal) => Promise<UpstreamOutcome>;
 
-async function* pieces(texts: string[], isBroken: boolean): AsyncGenerator<Buffer> {
+async function* yieldChunks(texts: string[], isTruncated: boolean): AsyncGenerator<Buffer> {
   for (const text of texts) yield Buffer.from(text);
-  if (isBroken) throw new BrokenAnswer('reset');
+  if (isTruncated) throw new BrokenAnswer('reset');
 }
 
 export const answering =
   (
     texts: string[],
-    { status = 200, isBroken = false, version = null as number | null } = {},
+    { status = 200, isTruncated = false, version = null as number | null } = {},
   ): Behaviour =>
   async () => ({
     type: 'answer',
@@ -46,7 +46,7 @@
       load: null,
       version,
       isEventStream: false,
-      body: pieces(texts, isBroken),
+      body: yieldChunks(texts, isTruncated),
     },
   });
 
@@ -60,15 +60,15 @@
   fault: { type: 'unknown', reason: 'reset' },
 });
 
-/** Takes the request and never answers; ends when the request is ended. */
-export const silent: Behaviour = (_request, signal) =>
+/** Accepts the request and never answers; ends when the request is aborted. */
+export const unresponsive: Behaviour = (_request, signal) =>
   new Promise((resolve) => {
     signal.addEventListener('abort', () =>
       resolve({ type: 'fault', fault: { type: 'unknown', reason: 'ended' } }),
     );
   });
 
-/** Upstreams with given behaviours, and the parts that a relay needs. */
+/** Creates upstreams with the given behaviours, and the dependencies of a relay. */
 export const newUpstreams = (clock: Clock, behaviours: Record<string, Behaviour>) => {
   const sent: { upstream: string; request: UpstreamRequest; signal: AbortSignal }[] = [];
 
--- a/packages/gateway/tests/newPlainRelay.test.ts
+++ b/packages/gateway/tests/newPlainRelay.test.ts
@@ -7,121 +7,129 @@
   newRequest,
   newUpstreams,
   refusing,
-  silent,
+  unresponsive,
   silentLog,
 } from './helpers.js';
 import type { Behaviour } from './helpers.js';
 
-const newParts = (behaviours: Record<string, Behaviour>, clock = newManualClock()) => {
+const newTestRelay = (behaviours: Record<string, Behaviour>, clock = newManualClock()) => {
   const upstreams = newUpstreams(clock, behaviours);
   const relay = newPlainRelay({ clock, log: silentLog, ...upstreams });
   return { clock, relay, ...upstreams };
 };
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
-test('a silent upstream costs a repeatable request a fraction of its time', async (t) => {
-  // An engine goes dark behind an open connection. A counter clerk would wait until the deadline.
-  const { clock, relay, sent } = newParts({ dark: silent, well: answering(['ok']) });
-  const outcome = relay(newRequest(clock), never);
+test('an unresponsive upstream delays a repeatable request only briefly', async (t) => {
+  // An engine becomes unresponsive while its connection stays open. Without a hedged request, the
+  // caller would wait until its deadline.
+  const { clock, relay, sent } = newTestRelay({ hung: unresponsive, working: answering(['ok']) });
+  const outcome = relay(newRequest(clock), neverAborted);
   await clock.advance(150);
   const result = await outcome;
   t.is(result.type, 'answer');
   await clock.advance(350);
-  t.true(sent.every(({ signal, upstream }) => upstream === 'well' || signal.aborted));
+  t.true(sent.every(({ signal, upstream }) => upstream === 'working' || signal.aborted));
 });
 
-test('a second upstream that is nearly done keeps its connection', async (t) => {
-  // An upstream takes a little longer than usual, a second one is asked and answers first. Broken
-  // off, the first one's connection is gone, and one request in ten would open a new one.
+test('a redundant attempt that is nearly done keeps its connection', async (t) => {
+  // An upstream is slightly slower than usual, and the hedged request is answered first. Aborting
+  // the first attempt would close its connection, and one request in ten would have to open a new
+  // one.
   const clock = newManualClock();
-  let isWhole = false;
+  let isComplete = false;
   const late: Behaviour = async (request, signal) => {
     await clock.sleepUntil(clock.now() + 250, signal);
-    isWhole = !signal.aborted;
+    isComplete = !signal.aborted;
     return answering(['late'])(request, signal);
   };
-  const { relay, loads } = newParts({ late, well: answering(['ok']) }, clock);
-  loads.begin('well');
-  const outcome = relay(newRequest(clock), never);
+  const { relay, loads } = newTestRelay({ late, working: answering(['ok']) }, clock);
+  loads.begin('working');
+  const outcome = relay(newRequest(clock), neverAborted);
   await clock.advance(150);
   const result = await outcome;
   t.is(result.type, 'answer');
   await clock.advance(500);
-  t.true(isWhole);
+  t.true(isComplete);
 });
 
-test('a caller that leaves ends all upstreams at once', async (t) => {
-  const { clock, relay, sent } = newParts({ one: silent, two: silent });
-  const leaving = new AbortController();
-  const outcome = relay(newRequest(clock), leaving.signal);
+test('all attempts are aborted at once when the caller disconnects', async (t) => {
+  const { clock, relay, sent } = newTestRelay({ one: unresponsive, two: unresponsive });
+  const disconnect = new AbortController();
+  const outcome = relay(newRequest(clock), disconnect.signal);
   await clock.advance(150);
-  leaving.abort();
+  disconnect.abort();
   t.true(sent.length === 2 && sent.every(({ signal }) => signal.aborted));
   await clock.advance(2_000);
   await outcome;
 });
 
-test('a request that may run once is never sent again after it may have run', async (t) => {
-  // The engine takes a deposit and its answer is lost. Sent again, the deposit is taken twice.
-  const { clock, relay, sent } = newParts({ one: breaking, two: breaking });
-  const result = await relay(newRequest(clock, { isIdempotent: false }), never);
+test('a request that may run only once is not sent again after it may have run', async (t) => {
+  // An engine books a deposit and its answer is lost. A second attempt would book it twice.
+  const { clock, relay, sent } = newTestRelay({ one: breaking, two: breaking });
+  const result = await relay(newRequest(clock, { isIdempotent: false }), neverAborted);
   t.is(sent.length, 1);
   t.true(result.type === 'refusal' && result.refusal.status === 502 && result.hasRun);
 });
 
-test('a request that may run once goes on where it certainly did not run', async (t) => {
-  // The first engine is full and says that it did not run the request.
-  const { clock, relay, sent } = newParts({ full: refusing, well: answering(['ok']) });
-  const result = await relay(newRequest(clock, { isIdempotent: false }), never);
+test('a request that may run only once is retried after it certainly has not run', async (t) => {
+  // The first engine is full and reports that it has not run the request.
+  const { clock, relay, sent } = newTestRelay({ full: refusing, working: answering(['ok']) });
+  const result = await relay(newRequest(clock, { isIdempotent: false }), neverAborted);
   t.is(result.type, 'answer');
   t.true(sent.length <= 2);
 });
 
-test('"not run" is said only when nothing ran, at once, and with a time to come back', async (t) => {
-  // All engines are full. The caller learns so without waiting and comes back.
-  const { clock, relay } = newParts({ one: refusing, two: refusing });
-  const result = await relay(newRequest(clock), never);
+test('"not run" is reported only if nothing ran, at once and with a retry delay', async (t) => {
+  // All engines are full. The caller is told at once and can retry.
+  const { clock, relay } = newTestRelay({ one: refusing, two: refusing });
+  const result = await relay(newRequest(clock), neverAborted);
   t.true(result.type === 'refusal' && result.refusal.status === 503 && !result.hasRun);
   t.true(result.type === 'refusal' && (result.refusal.retryAfterMs ?? 0) > 0);
 });
 
-test('an answer that broke off is not taken for whole', async (t) => {
-  // The connection is reset in the middle of an answer; passed on, it would look complete.
-  const { clock, relay } = newParts({
-    broken: answering(['ha'], { isBroken: true }),
-    other: answering(['ha'], { isBroken: true }),
+test('a truncated answer is not taken for complete', async (t) => {
+  // The connection is reset in the middle of an answer, which would look complete if it were
+  // relayed.
+  const { clock, relay } = newTestRelay({
+    broken: answering(['ha'], { isTruncated: true }),
+    other: answering(['ha'], { isTruncated: true }),
   });
-  const result = await relay(newRequest(clock), never);
+  const result = await relay(newRequest(clock), neverAborted);
   t.true(result.type === 'refusal' && result.refusal.status === 502);
 });
 
 test('no more upstreams are tried than the route allows', async (t) => {
-  const { clock, relay, sent } = newParts({ a: breaking, b: breaking, c: breaking, d: breaking });
-  await relay(newRequest(clock, { mostUpstreams: 2 }), never);
+  const { clock, relay, sent } = newTestRelay({
+    a: breaking,
+    b: breaking,
+    c: breaking,
+    d: breaking,
+  });
+  await relay(newRequest(clock, { mostUpstreams: 2 }), neverAborted);
   t.is(sent.length, 2);
 });
 
-test('at its deadline a request gets its answer', async (t) => {
-  // All engines are silent. The caller is told at its deadline, but for the moment in which an
-  // engine's own word of it arrives.
-  const { clock, relay } = newParts({ a: silent, b: silent });
-  const outcome = relay(newRequest(clock, { deadline: clock.now() + 400 }), never);
+test('a request is answered at its deadline', async (t) => {
+  // All engines are unresponsive. The caller is told at its deadline, after a short grace period in
+  // which an engine's own report may arrive.
+  const { clock, relay } = newTestRelay({ a: unresponsive, b: unresponsive });
+  const outcome = relay(newRequest(clock, { deadline: clock.now() + 400 }), neverAborted);
   await clock.advance(445);
   const result = await outcome;
   t.true(result.type === 'refusal' && result.refusal.status === 504);
 });
 
-test("a caller's short deadline tells nothing of the upstream", async (t) => {
-  // A caller allows less time than the work takes. The upstream is well; resting it would take a
-  // third of the service away from all other callers.
+test("a caller's short deadline does not count as a failure of the upstream", async (t) => {
+  // A caller's deadline is shorter than the work takes. The upstream is healthy; putting it into
+  // back-off would remove a third of the service's capacity for all other callers.
   const clock = newManualClock();
-  const hasty: Behaviour = async (request) => {
+  const endsAtDeadline: Behaviour = async (request) => {
     while (clock.now() < (request.deadline ?? 0) - 1) await clock.sleepUntil(clock.now() + 1);
     return { type: 'fault', fault: { type: 'unknown', reason: 'no answer in time' } };
   };
-  const { relay, health } = newParts({ one: hasty }, clock);
-  const outcome = relay(newRequest(clock, { deadline: clock.now() + 90 }), never);
+  const { relay, health } = newTestRelay({ one: endsAtDeadline }, clock);
+  const outcome = relay(newRequest(clock, { deadline: clock.now() + 90 }), neverAborted);
   await clock.advance(95);
   const result = await outcome;
   t.true(result.type === 'refusal' && result.refusal.status === 504);
--- a/packages/gateway/tests/routes.test.ts
+++ b/packages/gateway/tests/routes.test.ts
@@ -41,7 +41,7 @@
   ...changes,
 });
 
-const effectiveOf = (settings: OperatorSettings) => {
+const buildEffective = (settings: OperatorSettings) => {
   const view = newSettingsView(silentLog);
   view.put(settings);
   const effective = view.read();
@@ -49,16 +49,16 @@
   return effective;
 };
 
-test('the longest prefix of the host name wins', (t) => {
-  const effective = effectiveOf(newSettings(1));
+test('the route with the longest matching prefix is chosen', (t) => {
+  const effective = buildEffective(newSettings(1));
   t.is(findRoute(effective, 'parts.example', '/a/b/c?x=1')?.name, '/a/b/');
   t.is(findRoute(effective, 'parts.example', '/a/c')?.name, '/a/');
   t.is(findRoute(effective, 'parts.example', '/ab/')?.name, undefined);
   t.is(findRoute(effective, 'other.example', '/a/c'), null);
 });
 
-test('a key stands for its customer, and no key for nobody', (t) => {
-  const effective = effectiveOf(newSettings(1));
+test('a key identifies its customer, and a missing or unknown key identifies none', (t) => {
+  const effective = buildEffective(newSettings(1));
   const route = findRoute(effective, 'parts.example', '/a/c');
   t.deepEqual(findCaller(effective, route, 'k2'), {
     type: 'customer',
@@ -70,8 +70,8 @@
   t.deepEqual(findCaller(effective, open, null), { type: 'anyone' });
 });
 
-test('settings never go back to an older version', (t) => {
-  // The store hands out an old record once more, after an outage. A withdrawn key would work again.
+test('settings are never replaced by an older version', (t) => {
+  // After an outage the store returns an old record again. A withdrawn key would become valid.
   const view = newSettingsView(silentLog);
   view.put(newSettings(7, { customers: [] }));
   view.put(newSettings(3));
@@ -90,8 +90,9 @@
   t.is(pickService(newRoute('/a/', { splits: [] }), 0.5), null);
 });
 
-test('only whole events of a stream are passed on', (t) => {
-  // An engine stops in the middle of an event. Its half would be joined to the next engine's events.
+test('only complete events of a stream are forwarded', (t) => {
+  // An engine stops in the middle of an event. The partial event would be joined to the events of
+  // the next engine.
   const split = newEventSplitter();
   const first = split(Buffer.from('id: 1\ndata: a\n\nid: 2\nda'));
   t.is(first.bytes.toString(), 'id: 1\ndata: a\n\n');
