--- a/apps/entry/src/completionRequest.ts
+++ b/apps/entry/src/completionRequest.ts
@@ -1,18 +1,18 @@
 import { z } from 'zod';
 
-const LONGEST_PROMPT_CHARACTERS = 500_000;
-const MOST_TOKENS = 100_000;
-const DEFAULT_TOKENS = 16;
+const MAX_PROMPT_CHARACTERS = 500_000;
+const MAX_COMPLETION_TOKENS = 100_000;
+const DEFAULT_COMPLETION_TOKENS = 16;
 
 const messageSchema = z.object({ role: z.string(), content: z.string() });
 
-/** A completion as callers of model services know it; a chat's messages are joined to a prompt. */
+/** The body of a completion or chat completion request; chat messages are joined to one prompt. */
 export const completionRequestSchema = z
   .object({
     model: z.string(),
-    prompt: z.string().max(LONGEST_PROMPT_CHARACTERS).optional(),
+    prompt: z.string().max(MAX_PROMPT_CHARACTERS).optional(),
     messages: z.array(messageSchema).min(1).max(1_000).optional(),
-    max_tokens: z.int().min(1).max(MOST_TOKENS).default(DEFAULT_TOKENS),
+    max_tokens: z.int().min(1).max(MAX_COMPLETION_TOKENS).default(DEFAULT_COMPLETION_TOKENS),
     stream: z.boolean().default(false),
   })
   .refine(({ prompt, messages }) => (prompt === undefined) !== (messages === undefined), {
@@ -21,6 +21,6 @@
 
 export type CompletionRequest = z.infer<typeof completionRequestSchema>;
 
-/** The text that the engine gets. */
-export const promptOf = ({ prompt, messages }: CompletionRequest): string =>
+/** Builds the prompt text that is sent to the engine. */
+export const buildPrompt = ({ prompt, messages }: CompletionRequest): string =>
   prompt ?? (messages ?? []).map(({ role, content }) => `${role}: ${content}`).join('\n');
--- a/apps/entry/src/entryParts.ts
+++ b/apps/entry/src/entryDependencies.ts
@@ -7,14 +7,14 @@
 import type { Gate } from './newGate.js';
 import type { OpenRequests } from './newOpenRequests.js';
 
-/** What the handlers of an entry work with. */
-export interface EntryParts {
+/** Dependencies shared by the request handlers of an entry. */
+export interface EntryDependencies {
   daemon: Daemon;
   gate: Gate;
   admissions: Admissions;
   openRequests: OpenRequests;
   relayGeneration: GenerationRelay;
   relayService: ServiceRelay;
-  claims: CallClaims;
+  claimCall: CallClaims;
   meter: Meter;
 }
--- a/apps/entry/src/newAdmissions.ts
+++ b/apps/entry/src/newAdmissions.ts
@@ -4,9 +4,9 @@
 import type { UpstreamDirectory } from '@cyclamengate/upstreams/newUpstreamDirectory';
 import type { OpenRequests } from './newOpenRequests.js';
 
-const REFRESH_MS = 250;
+const REFRESH_INTERVAL_MS = 250;
 
-/** One admission for each service, kept in step with upstreams and the other entries. */
+/** Creates one admission queue per service and regularly updates its slots and published demand. */
 const newAdmissions = (
   { clock, runtime, settings }: Daemon,
   directory: UpstreamDirectory,
@@ -17,15 +17,15 @@
   const otherEntries = () =>
     runtime.membership.others().filter(({ role, isLeaving }) => role === 'entry' && !isLeaving);
 
-  const refreshOne = (admission: Admission, service: string): void => {
-    const usable = directory.usable(service);
-    admission.setSlots(usable.reduce((sum, { slots }) => sum + slots, 0));
+  const refreshAdmission = (admission: Admission, service: string): void => {
+    const usableUpstreams = directory.usable(service);
+    admission.setSlots(usableUpstreams.reduce((sum, { slots }) => sum + slots, 0));
     runtime.self.demand[service] = admission.demand();
   };
 
-  const of = (service: string): Admission => {
-    const known = admissions.get(service);
-    if (known) return known;
+  const forService = (service: string): Admission => {
+    const existing = admissions.get(service);
+    if (existing) return existing;
     const created = newAdmission({
       clock,
       service,
@@ -33,22 +33,22 @@
       reservedPart: settings.policy.reservedPart,
       readSettings: runtime.effective,
       otherEntries,
-      inFlightOf: openRequests.runningOf,
+      inFlightOf: openRequests.runningCount,
     });
-    refreshOne(created, service);
+    refreshAdmission(created, service);
     admissions.set(service, created);
     return created;
   };
 
   const run = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
-      admissions.forEach(refreshOne);
-      runtime.self.inFlight = openRequests.runningByCustomer();
-      await clock.sleepUntil(clock.now() + REFRESH_MS, signal);
+      admissions.forEach(refreshAdmission);
+      runtime.self.inFlight = openRequests.runningCounts();
+      await clock.sleepUntil(clock.now() + REFRESH_INTERVAL_MS, signal);
     }
   };
 
-  return { of, run };
+  return { forService, run };
 };
 
 export type Admissions = ReturnType<typeof newAdmissions>;
--- a/apps/entry/src/newCompletionHandler.ts
+++ b/apps/entry/src/newCompletionHandler.ts
@@ -11,12 +11,12 @@
 import { notRun } from '@cyclamengate/routing/refusal';
 import type { Refusal } from '@cyclamengate/routing/refusal';
 import type { EndEvent, Generation, TokenEvent } from '@cyclamengate/upstreams/generation';
-import { completionRequestSchema, promptOf } from './completionRequest.js';
+import { completionRequestSchema, buildPrompt } from './completionRequest.js';
 import type { CompletionRequest } from './completionRequest.js';
-import type { EntryParts } from './entryParts.js';
-import type { Admitted } from './newGate.js';
-import { refusalBody, sendRefusal } from './sendRefusal.js';
-import serveOpen from './serveOpen.js';
+import type { EntryDependencies } from './entryDependencies.js';
+import type { AdmittedRequest } from './newGate.js';
+import { newRefusalBody, sendRefusal } from './sendRefusal.js';
+import serveAdmitted from './serveAdmitted.js';
 
 const CHARACTERS_PER_TOKEN = 4;
 
@@ -27,7 +27,7 @@
   return restored.ok ? restored : Err(notRun('bad-request', formatProblems(restored.val)));
 };
 
-const chunkOf = (requestId: string, model: string, { text, version }: TokenEvent): string =>
+const formatChunk = (requestId: string, model: string, { text, version }: TokenEvent): string =>
   JSON.stringify({
     id: requestId,
     object: 'text_completion',
@@ -36,15 +36,15 @@
     version,
   });
 
-const usageOf = (promptTokens: number, outputTokens: number) => ({
+const newUsage = (promptTokens: number, outputTokens: number) => ({
   prompt_tokens: promptTokens,
   completion_tokens: outputTokens,
   total_tokens: promptTokens + outputTokens,
 });
 
-/** Whom a token goes to: a stream at once, a whole answer at the end. */
+/** Sends the tokens of a completion to the caller, one by one or in a single response at the end. */
 interface Sink {
-  take: (token: TokenEvent) => Promise<void>;
+  writeToken: (token: TokenEvent) => Promise<void>;
   finish: (end: EndEvent) => Promise<void>;
   refuse: (refusal: Refusal) => Promise<void>;
 }
@@ -58,7 +58,7 @@
 }
 
 const newStreamSink = ({ response, requestId, model, promptTokens, now }: SinkOptions): Sink => {
-  const begin = (): void => {
+  const sendHeaders = (): void => {
     if (response.headersSent) return;
     response.writeHead(200, {
       'content-type': 'text/event-stream',
@@ -67,16 +67,16 @@
     });
   };
   return {
-    take: async (token) => {
-      begin();
-      await writeEvent(response, chunkOf(requestId, model, token));
+    writeToken: async (token) => {
+      sendHeaders();
+      await writeEvent(response, formatChunk(requestId, model, token));
     },
     finish: async ({ tokens, finishReason }) => {
-      begin();
+      sendHeaders();
       const choices = [{ index: 0, text: '', finish_reason: finishReason }];
-      const usage = usageOf(promptTokens, tokens);
-      const last = { id: requestId, object: 'text_completion', model, choices, usage };
-      await writeEvent(response, JSON.stringify(last));
+      const usage = newUsage(promptTokens, tokens);
+      const lastChunk = { id: requestId, object: 'text_completion', model, choices, usage };
+      await writeEvent(response, JSON.stringify(lastChunk));
       await writeEvent(response, '[DONE]');
       response.end();
     },
@@ -85,18 +85,18 @@
         sendRefusal(response, refusal, requestId, now());
         return;
       }
-      // No [DONE] follows, so a reader can't take the part for the whole.
-      await writeEvent(response, JSON.stringify(refusalBody(refusal, requestId)));
+      // No [DONE] follows, so that the caller can detect a truncated answer.
+      await writeEvent(response, JSON.stringify(newRefusalBody(refusal, requestId)));
       response.end();
     },
   };
 };
 
-const newWholeSink = ({ response, requestId, model, promptTokens, now }: SinkOptions): Sink => {
+const newBufferedSink = ({ response, requestId, model, promptTokens, now }: SinkOptions): Sink => {
   const texts: string[] = [];
   const versions = new Set<number>();
   return {
-    take: async ({ text, version }) => {
+    writeToken: async ({ text, version }) => {
       texts.push(text);
       versions.add(version);
     },
@@ -110,7 +110,7 @@
           model,
           choices: [{ index: 0, text: texts.join(''), finish_reason: finishReason }],
           versions: [...versions],
-          usage: usageOf(promptTokens, tokens),
+          usage: newUsage(promptTokens, tokens),
         },
         { 'x-request-id': requestId },
       ),
@@ -118,9 +118,9 @@
   };
 };
 
-/** Serves a completion: key, queue, upstream, relay, meter. */
-const newCompletionHandler = (parts: EntryParts) => {
-  const { daemon, gate, relayGeneration, meter } = parts;
+/** Serves completion requests: admits and queues them, relays the engine's tokens, meters usage. */
+const newCompletionHandler = (dependencies: EntryDependencies) => {
+  const { daemon, gate, relayGeneration, meter } = dependencies;
   const { clock, metrics, log, runtime } = daemon;
   const now = (): number => clock.now();
 
@@ -128,14 +128,14 @@
     runtime.effective().services.get(model)?.type === 'model';
 
   const generate = async (
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     request: CompletionRequest,
     sink: Sink,
     promptTokens: number,
     signal: AbortSignal,
   ) => {
     const { requestId, caller, priority } = admitted;
-    const prompt = promptOf(request);
+    const prompt = buildPrompt(request);
     const generation: Generation = {
       requestId,
       customer: caller.customer.id,
@@ -146,36 +146,42 @@
       priority,
     };
     const contentDigest = digest(`${caller.customer.id}\n${request.model}\n${prompt}`);
-    let relayed = 0;
+    let relayedTokens = 0;
     const startedAt = now();
-    const take = async (token: TokenEvent): Promise<void> => {
-      if (relayed === 0) metrics.observe('first_token', now() - startedAt);
-      relayed += 1;
-      await sink.take(token);
+    const relayToken = async (token: TokenEvent): Promise<void> => {
+      if (relayedTokens === 0) metrics.observe('first_token', now() - startedAt);
+      relayedTokens += 1;
+      await sink.writeToken(token);
     };
-    const answer = await relayGeneration(generation, contentDigest, take, signal);
-    // What was passed on is billed, also when the rest failed; what failed before that is not.
-    if (answer.ok || relayed > 0) {
-      meter.add(caller.customer.id, { requests: 1, promptTokens, outputTokens: relayed });
+    const answer = await relayGeneration(generation, contentDigest, relayToken, signal);
+    // Relayed tokens are billed even if the answer fails afterwards. A request that fails before
+    // its first token is not billed.
+    if (answer.ok || relayedTokens > 0) {
+      meter.add(caller.customer.id, { requests: 1, promptTokens, outputTokens: relayedTokens });
     }
-    metrics.count('tokens_relayed', relayed);
-    return { answer, tokens: promptTokens + relayed };
+    metrics.count('tokens_relayed', relayedTokens);
+    return { answer, tokens: promptTokens + relayedTokens };
   };
 
   const serve = async (
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     request: CompletionRequest,
     response: ServerResponse,
   ): Promise<void> => {
     const { requestId, caller } = admitted;
-    const promptTokens = Math.ceil(promptOf(request).length / CHARACTERS_PER_TOKEN);
-    const newSink = request.stream ? newStreamSink : newWholeSink;
+    const promptTokens = Math.ceil(buildPrompt(request).length / CHARACTERS_PER_TOKEN);
+    const newSink = request.stream ? newStreamSink : newBufferedSink;
     const sink = newSink({ response, requestId, model: request.model, promptTokens, now });
     const cost = promptTokens + request.max_tokens;
     const controller = gate.watchCaller(response);
     const startedAt = now();
-    const answer = await serveOpen(parts, admitted, request.model, cost, controller, (signal) =>
-      generate(admitted, request, sink, promptTokens, signal),
+    const answer = await serveAdmitted(
+      dependencies,
+      admitted,
+      request.model,
+      cost,
+      controller,
+      (signal) => generate(admitted, request, sink, promptTokens, signal),
     );
     if (answer.ok) await sink.finish(answer.val);
     else await sink.refuse(answer.val);
@@ -193,17 +199,17 @@
       return;
     }
     const { requestId } = admitted.val;
-    const wanted = parseRequest(admitted.val.body);
-    if (!wanted.ok) {
-      sendRefusal(response, wanted.val, requestId, now());
+    const parsed = parseRequest(admitted.val.body);
+    if (!parsed.ok) {
+      sendRefusal(response, parsed.val, requestId, now());
       return;
     }
-    if (!hasModel(wanted.val.model)) {
-      const unknown = notRun('unknown-service', `no model ${wanted.val.model} in the settings`);
+    if (!hasModel(parsed.val.model)) {
+      const unknown = notRun('unknown-service', `no model ${parsed.val.model} in the settings`);
       sendRefusal(response, unknown, requestId, now());
       return;
     }
-    await serve(admitted.val, wanted.val, response);
+    await serve(admitted.val, parsed.val, response);
   };
 };
 
--- a/apps/entry/src/newEntry.ts
+++ b/apps/entry/src/newEntry.ts
@@ -17,7 +17,7 @@
 import newMeter from '@cyclamengate/usage/newMeter';
 import newUsageKeeper from '@cyclamengate/usage/newUsageKeeper';
 import type { UsageKeeper } from '@cyclamengate/usage/newUsageKeeper';
-import type { EntryParts } from './entryParts.js';
+import type { EntryDependencies } from './entryDependencies.js';
 import newAdmissions from './newAdmissions.js';
 import newCompletionHandler from './newCompletionHandler.js';
 import newGate from './newGate.js';
@@ -26,25 +26,30 @@
 
 const PROGRAM = 'cyclamengate-entry';
 
-/** Gives this host's usage that the log lacks to a peer, in another failure domain if there is one. */
-const newUsageCopy = ({ runtime, settings }: Daemon) => {
+/**
+ * Copies this host's usage that is not in the log yet to another entry, preferably one in another
+ * failure domain.
+ */
+const newUsageReplicator = ({ runtime, settings }: Daemon) => {
   let wasEmpty = true;
   return async (deltas: UsageDelta[]): Promise<void> => {
     if (deltas.length === 0 && wasEmpty) return;
     const entries = runtime.membership.others().filter(({ role }) => role === 'entry');
-    const elsewhere = entries.find(({ failureDomain }) => failureDomain !== settings.failureDomain);
-    const keeper = elsewhere ?? entries[0];
-    if (!keeper) return;
-    const kept = await runtime.peerAt(keeper.peerUrl).keepUsage(runtime.incarnation, deltas);
-    wasEmpty = kept.ok && deltas.length === 0;
+    const inOtherDomain = entries.find(
+      ({ failureDomain }) => failureDomain !== settings.failureDomain,
+    );
+    const peer = inOtherDomain ?? entries[0];
+    if (!peer) return;
+    const copied = await runtime.peerAt(peer.peerUrl).keepUsage(runtime.incarnation, deltas);
+    wasEmpty = copied.ok && deltas.length === 0;
   };
 };
 
-/** The process that callers talk to. */
+/** The process that serves callers' requests. */
 const newEntry = (settings: HostSettings) => {
-  const keeper: { current: UsageKeeper | null } = { current: null };
+  const usageKeeper: { current: UsageKeeper | null } = { current: null };
   const daemon = newDaemon(PROGRAM, 'entry', settings, {
-    keepUsage: (host, deltas) => keeper.current?.keep(host, deltas),
+    keepUsage: (host, deltas) => usageKeeper.current?.keep(host, deltas),
   });
   const { clock, metrics, tasks, runtime, log, app } = daemon;
   const { follower, writer, suspects } = runtime;
@@ -62,15 +67,15 @@
     writer,
     host: runtime.incarnation,
     windowMs: settings.usageWindowSeconds * 1_000,
-    copy: newUsageCopy(daemon),
+    copy: newUsageReplicator(daemon),
   });
-  keeper.current = newUsageKeeper({
+  usageKeeper.current = newUsageKeeper({
     clock,
     follower,
     writer,
     isLive: (host) => runtime.membership.live().some(({ incarnation }) => incarnation === host),
   });
-  const parts: EntryParts = {
+  const dependencies: EntryDependencies = {
     daemon,
     gate,
     admissions,
@@ -83,21 +88,21 @@
       choice,
       budget,
     }),
-    claims: newCallClaims(clock, writer),
+    claimCall: newCallClaims(clock, writer),
     meter,
   };
 
   const onFault = (error: unknown): void => {
     log.error({ event: 'handler-failed', error: String((error as Error).stack ?? error) });
   };
-  const completion = handler(onFault, newCompletionHandler(parts));
-  app.post('/v1/completions', completion);
-  app.post('/v1/chat/completions', completion);
-  app.all('/v1/services/*', handler(onFault, newServiceHandler(parts)));
+  const handleCompletion = handler(onFault, newCompletionHandler(dependencies));
+  app.post('/v1/completions', handleCompletion);
+  app.post('/v1/chat/completions', handleCompletion);
+  app.all('/v1/services/*', handler(onFault, newServiceHandler(dependencies)));
   runtime.onSettings(openRequests.checkKeys);
   metrics.gauge('open_requests', openRequests.size);
 
-  /** Lets every open request come to its end, hands its usage to the log, and stops. */
+  /** Refuses new requests, waits until all open ones have ended, writes usage to the log and stops. */
   const drain = async (): Promise<void> => {
     await daemon.announceLeaving();
     gate.close();
@@ -115,7 +120,7 @@
     );
     tasks.start('admissions', admissions.run);
     tasks.start('meter', meter.run);
-    if (keeper.current) tasks.start('usage keeper', keeper.current.run);
+    if (usageKeeper.current) tasks.start('usage keeper', usageKeeper.current.run);
     return { drain };
   };
 
--- a/apps/entry/src/newGate.ts
+++ b/apps/entry/src/newGate.ts
@@ -14,65 +14,65 @@
 import { prioritySchema } from '@cyclamengate/upstreams/generation';
 import type { Priority } from '@cyclamengate/upstreams/generation';
 
-/** A host that can't tell whether its settings are the newest calls them too old after this time. */
-export const SETTINGS_FRESH_MS = 10_000;
-const DEFAULT_WAIT_MS = 60_000;
-const LONGEST_WAIT_MS = 600_000;
+/** Settings count as too old if the host could not confirm for this long that they are current. */
+export const MAX_SETTINGS_AGE_MS = 10_000;
+const DEFAULT_REQUEST_TIMEOUT_MS = 60_000;
+const MAX_REQUEST_TIMEOUT_MS = 600_000;
 
-/** A request that may go on: whose it is, how urgent, until when it may wait. */
-export interface Admitted {
+/** A request that passed the checks of the gate and may be queued. */
+export interface AdmittedRequest {
   requestId: string;
   caller: Caller;
   priority: Priority;
-  /** On the monotonic clock. */
+  /** The latest time at which it may start, on the monotonic clock. */
   deadline: number;
   body: Buffer;
 }
 
-const readWaitMs = (header: string | string[] | undefined): number => {
-  const wanted = Number(header ?? DEFAULT_WAIT_MS);
-  return wanted > 0 ? Math.min(LONGEST_WAIT_MS, wanted) : DEFAULT_WAIT_MS;
+const readTimeoutMs = (header: string | string[] | undefined): number => {
+  const requested = Number(header ?? DEFAULT_REQUEST_TIMEOUT_MS);
+  return requested > 0 ? Math.min(MAX_REQUEST_TIMEOUT_MS, requested) : DEFAULT_REQUEST_TIMEOUT_MS;
 };
 
-/** What stands between a caller and the queue: key, freshness of settings, body. */
+/** Checks a request before it is queued: its key, the age of the settings, its headers and body. */
 const newGate = (clock: Clock, runtime: Runtime) => {
   let isClosed = false;
 
-  const isTooOld = ({ customer }: Caller): boolean =>
+  const areSettingsTooOld = ({ customer }: Caller): boolean =>
     customer.whenCutOff === 'refuse' &&
-    clock.now() > runtime.follower.currentAt() + SETTINGS_FRESH_MS;
+    clock.now() > runtime.follower.currentAt() + MAX_SETTINGS_AGE_MS;
 
-  const readWhole = async (request: HandlerRequest): Promise<Result<Buffer, Refusal>> => {
+  const readRequestBody = async (request: HandlerRequest): Promise<Result<Buffer, Refusal>> => {
     const body = await readBody(request, LARGEST_BODY_BYTES, BODY_TIMEOUT_MS);
     if (body.ok) return body;
     const code = body.val === 'too-large' || body.val === 'too-slow' ? body.val : 'bad-request';
     return Err(notRun(code, `body refused: ${body.val}`));
   };
 
-  const admit = async (request: HandlerRequest): Promise<Result<Admitted, Refusal>> => {
+  const admit = async (request: HandlerRequest): Promise<Result<AdmittedRequest, Refusal>> => {
     const requestId = newId('request');
     if (isClosed) return Err(notRun('leaving', 'this host is shutting down', clock.now()));
     const caller = authenticate(request.headers, runtime.effective());
     if (!caller.ok) return Err(notRun(caller.val, 'no customer for this request'));
-    if (isTooOld(caller.val)) {
+    if (areSettingsTooOld(caller.val)) {
       const message = 'this host is cut off and the customer wants no answers on old settings';
-      return Err(notRun('settings-too-old', message, clock.now() + SETTINGS_FRESH_MS));
+      return Err(notRun('settings-too-old', message, clock.now() + MAX_SETTINGS_AGE_MS));
     }
     const priority = prioritySchema.safeParse(request.headers['x-priority'] ?? 'interactive');
     if (!priority.success)
       return Err(notRun('bad-request', 'x-priority: allowed: interactive, background, training'));
-    const deadline = clock.now() + readWaitMs(request.headers['x-timeout-ms']);
-    const body = await readWhole(request);
+    const deadline = clock.now() + readTimeoutMs(request.headers['x-timeout-ms']);
+    const body = await readRequestBody(request);
     if (!body.ok) return body;
     return Ok({ requestId, caller: caller.val, priority: priority.data, deadline, body: body.val });
   };
 
-  /** Refuses all requests from here on. */
+  /** Makes `admit` refuse all further requests. */
   const close = (): void => {
     isClosed = true;
   };
 
-  /** A controller that aborts when the caller's connection ends before its answer does. */
+  /** Creates a controller that aborts if the connection closes before the response is complete. */
   const watchCaller = (response: ServerResponse): AbortController => {
     const controller = new AbortController();
     response.once('close', () => {
--- a/apps/entry/src/newOpenRequests.ts
+++ b/apps/entry/src/newOpenRequests.ts
@@ -1,57 +1,59 @@
 import type { EffectiveSettings } from '@cyclamengate/settings/newEffectiveSettings';
 
-/** A request that is being served. */
+/** An admitted request that is queued or running. */
 export interface OpenRequest {
   customer: string;
   keyDigest: string;
-  /** Aborted when the caller goes away, or with a reason when its key is withdrawn. */
+  /** Aborted when the caller disconnects, or with `KEY_WITHDRAWN` when its key is withdrawn. */
   controller: AbortController;
 }
 
-/** Why an open request is ended by this side. */
+/** Reason of the abort of an open request whose key was withdrawn. */
 export const KEY_WITHDRAWN = 'key-withdrawn';
 
-/** All requests being served on this host. */
+/** Tracks the queued and running requests of this host. */
 const newOpenRequests = () => {
-  const open = new Set<OpenRequest>();
-  const running = new Map<string, number>();
-  const emptied = new Set<() => void>();
+  const openRequests = new Set<OpenRequest>();
+  const runningCountByCustomer = new Map<string, number>();
+  const emptyWaiters = new Set<() => void>();
 
-  const countRunning = (customer: string, change: number): void => {
-    const count = (running.get(customer) ?? 0) + change;
-    if (count === 0) running.delete(customer);
-    else running.set(customer, count);
+  const changeRunningCount = (customer: string, change: number): void => {
+    const count = (runningCountByCustomer.get(customer) ?? 0) + change;
+    if (count === 0) runningCountByCustomer.delete(customer);
+    else runningCountByCustomer.set(customer, count);
   };
 
   return {
     begin: (request: OpenRequest): void => {
-      open.add(request);
+      openRequests.add(request);
     },
     end: (request: OpenRequest): void => {
-      open.delete(request);
-      if (open.size > 0) return;
-      emptied.forEach((resolve) => resolve());
-      emptied.clear();
+      openRequests.delete(request);
+      if (openRequests.size > 0) return;
+      emptyWaiters.forEach((resolve) => resolve());
+      emptyWaiters.clear();
     },
-    /** Its turn has come; it counts against its customer's limit until it is over. */
-    startRunning: ({ customer }: OpenRequest): void => countRunning(customer, 1),
-    endRunning: ({ customer }: OpenRequest): void => countRunning(customer, -1),
-    runningOf: (customer: string): number => running.get(customer) ?? 0,
-    runningByCustomer: (): Record<string, number> => Object.fromEntries(running),
+    /** Counts a request against its customer's limit until `endRunning`. */
+    startRunning: ({ customer }: OpenRequest): void => changeRunningCount(customer, 1),
+    endRunning: ({ customer }: OpenRequest): void => changeRunningCount(customer, -1),
+    runningCount: (customer: string): number => runningCountByCustomer.get(customer) ?? 0,
+    runningCounts: (): Record<string, number> => Object.fromEntries(runningCountByCustomer),
     /**
-     * A caller may stay connected long after its key was checked. Whenever settings change, every
-     * open request is checked again, and one whose key is gone is ended with its upstream's work.
+     * Aborts every open request whose key is no longer valid, which also cancels its work at the
+     * upstream. Called whenever settings change, since a request can last long after its key was
+     * checked.
      */
     checkKeys: ({ keysByDigest }: EffectiveSettings): void =>
-      open.forEach(({ keyDigest, controller }) => {
+      openRequests.forEach(({ keyDigest, controller }) => {
         if (!keysByDigest.has(keyDigest)) controller.abort(KEY_WITHDRAWN);
       }),
-    size: (): number => open.size,
+    size: (): number => openRequests.size,
+    /** Resolves when no request is open. */
     whenEmpty: (): Promise<void> =>
-      open.size === 0
+      openRequests.size === 0
         ? Promise.resolve()
         : new Promise((resolve) => {
-            emptied.add(resolve);
+            emptyWaiters.add(resolve);
           }),
   };
 };
--- a/apps/entry/src/newServiceHandler.ts
+++ b/apps/entry/src/newServiceHandler.ts
@@ -9,15 +9,15 @@
 import type { ServiceSettings } from '@cyclamengate/settings/serviceSettings';
 import type { ServiceAnswer, ServiceCall } from '@cyclamengate/upstreams/serviceCall';
 import { z } from 'zod';
-import type { EntryParts } from './entryParts.js';
-import type { Admitted } from './newGate.js';
+import type { EntryDependencies } from './entryDependencies.js';
+import type { AdmittedRequest } from './newGate.js';
 import { sendRefusal } from './sendRefusal.js';
-import serveOpen from './serveOpen.js';
+import serveAdmitted from './serveAdmitted.js';
 
-/** Cost of one plain call in the fair queue, in tokens. */
+/** Cost of one call in the fair queue, in tokens. */
 const CALL_COST_TOKENS = 50;
 const CALL_PATH = /^\/v1\/services\/([a-z0-9-]+)\/([\w./-]*)$/;
-const KEYLIKE = /cgk_/;
+const KEY_PREFIX_PATTERN = /cgk_/;
 const methodSchema = z.enum(['GET', 'POST', 'PUT', 'DELETE']);
 const idempotencyKeySchema = z
   .string()
@@ -28,33 +28,36 @@
 interface Target {
   service: ServiceSettings;
   call: ServiceCall;
-  /** Null for a call that may be repeated. */
+  /** Null for an idempotent call. */
   idempotencyKey: string | null;
 }
 
 /** Serves calls to plain and scoring services. */
-const newServiceHandler = (parts: EntryParts) => {
-  const { daemon, gate, relayService, claims, meter } = parts;
+const newServiceHandler = (dependencies: EntryDependencies) => {
+  const { daemon, gate, relayService, claimCall, meter } = dependencies;
   const { clock, metrics, log, runtime } = daemon;
 
   /**
-   * Only what is named here goes on to the upstream: its own path, the content type and the body. No
-   * header of the caller does, so neither its key nor a smuggled header can.
+   * Builds the call to the upstream from the method, the path and the body of the request. No header
+   * of the caller is forwarded, so neither its key nor a smuggled header reaches the upstream.
    */
-  const findTarget = (request: HandlerRequest, admitted: Admitted): Result<Target, Refusal> => {
-    const [, id = '', rest = ''] = CALL_PATH.exec(request.path) ?? [];
+  const findTarget = (
+    request: HandlerRequest,
+    admitted: AdmittedRequest,
+  ): Result<Target, Refusal> => {
+    const [, id = '', upstreamPath = ''] = CALL_PATH.exec(request.path) ?? [];
     const service = runtime.effective().services.get(id);
-    if (!service || service.type === 'model' || rest.includes('..')) {
+    if (!service || service.type === 'model' || upstreamPath.includes('..')) {
       return Err(notRun('unknown-service', `no service at ${CALL_PATH.source}`));
     }
-    if (KEYLIKE.test(request.originalUrl) || admitted.body.includes('cgk_')) {
+    if (KEY_PREFIX_PATTERN.test(request.originalUrl) || admitted.body.includes('cgk_')) {
       return Err(notRun('bad-request', 'a key belongs into the authorization header alone'));
     }
     const method = methodSchema.safeParse(request.method);
     if (!method.success) return Err(notRun('bad-request', 'allowed: GET, POST, PUT, DELETE'));
-    const isRepeatable = service.idempotent || method.data === 'GET';
+    const isIdempotent = service.idempotent || method.data === 'GET';
     const idempotencyKey = idempotencyKeySchema.safeParse(request.headers['idempotency-key']);
-    if (!isRepeatable && !idempotencyKey.success) {
+    if (!isIdempotent && !idempotencyKey.success) {
       const message = 'this service needs an idempotency-key header of 1 to 200 letters or digits';
       return Err(notRun('idempotency-key-missing', message));
     }
@@ -62,22 +65,22 @@
       requestId: admitted.requestId,
       customer: admitted.caller.customer.id,
       method: method.data,
-      path: `/call/${rest}`,
+      path: `/call/${upstreamPath}`,
       contentType: 'application/json',
       body: admitted.body.length > 0 ? admitted.body : null,
     };
-    const key = isRepeatable ? null : (idempotencyKey.data ?? null);
+    const key = isIdempotent ? null : (idempotencyKey.data ?? null);
     return Ok({ service, call, idempotencyKey: key });
   };
 
-  /** Runs a call that may not be repeated under a claim from the log, or not at all. */
+  /** Runs a non-idempotent call, but only after the log has accepted a claim for it. */
   const runClaimed = async (
     { service, call }: Target,
     idempotencyKey: string,
     signal: AbortSignal,
   ): Promise<Result<ServiceAnswer, Refusal>> => {
     const requestDigest = digest(`${call.method} ${call.path}\n${call.body?.toString() ?? ''}`);
-    const claim = await claims(call.customer, idempotencyKey, requestDigest);
+    const claim = await claimCall(call.customer, idempotencyKey, requestDigest);
     if (!claim.ok) return claim;
     if (signal.aborted) {
       claim.val.end('not-run');
@@ -89,12 +92,15 @@
     return answer;
   };
 
-  const run = (target: Target, signal: AbortSignal): Promise<Result<ServiceAnswer, Refusal>> =>
+  const callService = (
+    target: Target,
+    signal: AbortSignal,
+  ): Promise<Result<ServiceAnswer, Refusal>> =>
     target.idempotencyKey === null
       ? relayService(target.service.id, target.call, true, signal)
       : runClaimed(target, target.idempotencyKey, signal);
 
-  const send = (response: ServerResponse, answer: ServiceAnswer, requestId: string): void => {
+  const sendAnswer = (response: ServerResponse, answer: ServiceAnswer, requestId: string): void => {
     if (response.destroyed) return;
     response.writeHead(answer.status, {
       'content-type': answer.contentType,
@@ -120,20 +126,20 @@
     const service = target.val.service.id;
     const controller = gate.watchCaller(response);
     const startedAt = clock.now();
-    const answer = await serveOpen(
-      parts,
+    const answer = await serveAdmitted(
+      dependencies,
       admitted.val,
       service,
       CALL_COST_TOKENS,
       controller,
       async (signal) => {
-        const called = await run(target.val, signal);
-        const figure = { requests: 1, promptTokens: 0, outputTokens: 0 };
-        if (called.ok) meter.add(caller.customer.id, figure);
-        return { answer: called, tokens: CALL_COST_TOKENS };
+        const relayed = await callService(target.val, signal);
+        const usage = { requests: 1, promptTokens: 0, outputTokens: 0 };
+        if (relayed.ok) meter.add(caller.customer.id, usage);
+        return { answer: relayed, tokens: CALL_COST_TOKENS };
       },
     );
-    if (answer.ok) send(response, answer.val, requestId);
+    if (answer.ok) sendAnswer(response, answer.val, requestId);
     else sendRefusal(response, answer.val, requestId, clock.now());
     const outcome = answer.ok ? 'whole' : answer.val.code;
     metrics.count(`calls_${outcome.replaceAll('-', '_')}`);
--- a/apps/entry/src/sendRefusal.ts
+++ b/apps/entry/src/sendRefusal.ts
@@ -7,15 +7,18 @@
 const secondsUntil = (retryAt: number, now: number): number =>
   Math.max(1, Math.ceil((retryAt - now) / 1_000));
 
-/** A refusal as callers read it. */
-export const refusalBody = ({ code, outcome, message }: Refusal, requestId: string) => ({
+/** Builds the response body of a refusal. */
+export const newRefusalBody = ({ code, outcome, message }: Refusal, requestId: string) => ({
   error: { code, outcome, message, request_id: requestId },
 });
 
-/** The rest of a body that was not read must not be taken for the next request. */
+/**
+ * Whether part of the request body is still unread. The connection is closed in this case, since the
+ * remaining bytes would be parsed as the next request.
+ */
 const isBodyUnread = ({ code }: Refusal): boolean => code === 'too-large' || code === 'too-slow';
 
-/** Answers with a refusal, at once, and says when to come back. */
+/** Sends a refusal immediately, with a `retry-after` header if it has a time to retry at. */
 export const sendRefusal = (
   response: ServerResponse,
   refusal: Refusal,
@@ -23,7 +26,7 @@
   now: number,
 ): void => {
   const send = isBodyUnread(refusal) ? sendLastJson : sendJson;
-  send(response, statusOf(refusal), refusalBody(refusal, requestId), {
+  send(response, statusOf(refusal), newRefusalBody(refusal, requestId), {
     'x-request-id': requestId,
     'x-outcome': refusal.outcome,
     ...(refusal.retryAt === null
--- a/apps/entry/tests/entry.process.test.ts
+++ b/apps/entry/tests/entry.process.test.ts
@@ -6,20 +6,21 @@
 import { isWhole, keyOf, post } from '@cyclamengate/fakes/callers';
 import newSystem from '@cyclamengate/fakes/newSystem';
 
-/** What a server answers to bytes, however the connection ends. */
-const raw = (url: string, text: string): Promise<string> =>
+/** Sends raw bytes and resolves to everything that the server answered before the connection closed. */
+const sendRaw = (url: string, text: string): Promise<string> =>
   new Promise((resolve) => {
     const { hostname, port } = new URL(url);
     const socket = connect(Number(port), hostname, () => socket.write(text));
     const chunks: Buffer[] = [];
     socket.on('data', (chunk) => chunks.push(chunk));
     socket.on('close', () => resolve(Buffer.concat(chunks).toString()));
-    // A server that refuses early closes while the rest is still being written, and the write then
-    // fails with EPIPE or ECONNRESET. What it answered counts, and is checked.
+    // A server that refuses early closes while the rest is still being written, so the write fails
+    // with EPIPE or ECONNRESET. The answer received until then is what the test checks.
     socket.on('error', () => socket.destroy());
   });
 
-// Keys must not reach an upstream in whatever part of a request, nor any log line, error or metric.
+// Guards against a caller's key reaching an upstream through any part of a request, or appearing in a
+// log line, error or metric.
 test('no key leaves the entry, in headers, bodies, paths, logs, errors or metrics', async (t) => {
   const system = await newSystem(1);
   t.teardown(system.stop);
@@ -36,7 +37,7 @@
   t.is(both.status, 400);
   t.is((await post(service, 'nobody', {})).status, 401);
   const metrics = await (await request(`${entry!.url}/metrics`)).body.text();
-  const seen = [
+  const exposed = [
     ...[...system.platform.fleet.running.values()].map(({ engine }) =>
       JSON.stringify(engine.served()),
     ),
@@ -44,35 +45,36 @@
     metrics,
     both.text,
   ].join('\n');
-  t.true(seen.includes('"customer":"players"'));
-  t.false(seen.includes('cgk_'));
+  t.true(exposed.includes('"customer":"players"'));
+  t.false(exposed.includes('cgk_'));
 });
 
-// Two lengths, a bare newline, headers without end: what a smuggled or hostile request looks like.
-test('malformed, oversized and slow requests are refused and hurt nobody else', async (t) => {
+// Guards against request smuggling (conflicting length headers) and against oversized or slow requests
+// that impair other callers.
+test('malformed, oversized and slow requests are refused and others still served', async (t) => {
   const system = await newSystem(1);
   t.teardown(system.stop);
   await system.begin();
   const [entry] = system.entries;
   const head = `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${keyOf('players')}\r\n`;
-  const smuggled = await raw(
+  const smuggled = await sendRaw(
     entry!.url,
     `${head}content-length: 2\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /metrics HTTP/1.1\r\n\r\n`,
   );
   t.regex(smuggled, /^HTTP\/1\.1 400/);
-  const fat = await raw(entry!.url, `${head}x-fat: ${'a'.repeat(20_000)}\r\n\r\n`);
-  t.regex(fat, /^HTTP\/1\.1 431/);
+  const longHeaders = await sendRaw(entry!.url, `${head}x-fat: ${'a'.repeat(20_000)}\r\n\r\n`);
+  t.regex(longHeaders, /^HTTP\/1\.1 431/);
   const large = await system.complete(entry!, 'players', { prompt: 'x'.repeat(8_000_000) });
   t.is(large.status, 413);
   t.is(JSON.parse(large.text).error.outcome, 'not-run');
-  const slow = await raw(entry!.url, `${head}content-length: 100\r\n\r\n{"model":`);
+  const slow = await sendRaw(entry!.url, `${head}content-length: 100\r\n\r\n{"model":`);
   t.regex(slow, /^HTTP\/1\.1 408/);
   t.regex(slow, /"outcome":"not-run"/);
   t.true(isWhole(await system.complete(entry!, 'players')));
 });
 
-// An operator withdraws a key while its holder is in the middle of a long stream. The naive way checks
-// keys only when a request begins.
+// Guards against checking keys only at the start of a request: an operator withdraws a key while a
+// long stream with that key is open.
 test('a withdrawn key ends its open stream and is refused at every entry', async (t) => {
   const system = await newSystem(2, { tokenDelayMs: 20 });
   t.teardown(system.stop);
@@ -95,8 +97,8 @@
   t.true(isWhole(await other));
 });
 
-// An entry is replaced while it serves. Whoever is connected to it must get the rest of the answer.
-test('a graceful shutdown cuts off no stream and hands its usage to the log', async (t) => {
+// Guards against truncated streams and lost usage when an entry is replaced while it serves.
+test('a graceful shutdown completes open streams and writes their usage to the log', async (t) => {
   const system = await newSystem(2, { tokenDelayMs: 20 });
   t.teardown(system.stop);
   await system.begin();
@@ -122,36 +124,36 @@
   );
 });
 
-// The caller closes its connection in the middle of an answer. Its upstream would go on generating
-// for nobody.
-test('a caller that goes away cancels the work of its upstream', async (t) => {
+// Guards against an upstream that goes on generating after the caller closed its connection in the
+// middle of an answer.
+test('a caller that disconnects cancels the work of its upstream', async (t) => {
   const system = await newSystem(1, { tokenDelayMs: 20 });
   t.teardown(system.stop);
   await system.begin();
   const [entry] = system.entries;
-  const gone = new AbortController();
+  const disconnect = new AbortController();
   const asking = request(`${entry!.url}/v1/completions`, {
     method: 'POST',
-    signal: gone.signal,
+    signal: disconnect.signal,
     headers: { authorization: `Bearer ${keyOf('players')}`, 'content-type': 'application/json' },
     body: JSON.stringify({ model: 'tone-assistant', prompt: 'x', max_tokens: 9_000, stream: true }),
   });
   const answer = await asking;
   answer.body.on('error', () => undefined);
-  const active = (): number =>
+  const countActive = (): number =>
     [...system.platform.fleet.running.values()].reduce(
       (sum, { engine }) => sum + engine.status().active,
       0,
     );
-  await waitUntil('it runs', async () => active() === 1);
-  gone.abort();
-  await waitUntil('it is cancelled', async () => active() === 0);
+  await waitUntil('the request runs', async () => countActive() === 1);
+  disconnect.abort();
+  await waitUntil('the request is cancelled', async () => countActive() === 0);
   t.pass();
 });
 
-// An engine answers with another request's words, ends an answer early, or falls silent in its middle.
-// The caller would get somebody else's answer, half of its own, or nothing for ever.
-test('crossed, cut and silent answers are replaced by whole ones', async (t) => {
+// Guards against relaying another request's tokens or a truncated answer, and against waiting forever
+// for an engine that stops responding in the middle of an answer.
+test('crossed, truncated and stalled answers are replaced by complete ones', async (t) => {
   const system = await newSystem(1);
   t.teardown(system.stop);
   await system.begin();
@@ -159,15 +161,15 @@
   for (const fault of ['cross-answers', 'cut-answers', 'silent'] as const) {
     system.platform.faults.set({ target: 'any-upstream', fault, isOn: true, times: 1, delayMs: 0 });
     const answer = await system.complete(entry!, 'players', { max_tokens: 10 });
-    const texts = [...answer.text.matchAll(/"text":" 11\.(\d+)"/g)].map(([, index]) =>
+    const tokenIndices = [...answer.text.matchAll(/"text":" 11\.(\d+)"/g)].map(([, index]) =>
       Number(index),
     );
     t.true(isWhole(answer), `${fault}: ${answer.text.slice(-200)}`);
-    t.deepEqual(texts, [0, 1, 2, 3, 4, 5, 6, 7, 8, 9], fault);
+    t.deepEqual(tokenIndices, [0, 1, 2, 3, 4, 5, 6, 7, 8, 9], fault);
   }
 });
 
-// A failure domain's upstreams are on their way out. Work that is sent to them is lost with them.
+// Guards against sending new work to an upstream that is shutting down and would lose it.
 test('a leaving upstream gets no new work after a few seconds', async (t) => {
   const system = await newSystem(1, { tokenDelayMs: 5, listLagMs: 1_000 });
   t.teardown(system.stop);
--- a/apps/entry/tests/sendRefusal.test.ts
+++ b/apps/entry/tests/sendRefusal.test.ts
@@ -12,7 +12,7 @@
 const BODY_TIMEOUT_MS = 60_000;
 const HEAD = `POST / HTTP/1.1\r\nhost: x\r\ncontent-length: ${BODY_BYTES}\r\n\r\n`;
 
-/** A server that refuses every body over its limit. */
+/** Starts a server that refuses every body over its limit. */
 const startServer = async () => {
   const server = createServer(async (request, response) => {
     const body = await readBody(request, LIMIT_BYTES, BODY_TIMEOUT_MS);
@@ -24,9 +24,9 @@
   return { close: () => server.close(), port: (server.address() as AddressInfo).port };
 };
 
-// A sender of a large body writes on after the refusal. A close at once resets its connection, and it
-// sees EPIPE in place of the answer.
-test('the refusal of a large body reaches a sender that writes to the end', async (t) => {
+// Guards against closing the connection immediately: this resets it, and a client that is still
+// sending a large body gets EPIPE instead of the answer.
+test('the refusal of a large body reaches a client that sends all of it', async (t) => {
   const { port, close } = await startServer();
   t.teardown(close);
   const { socket, faults, closed, takeText, writeBody } = await newRawSender('127.0.0.1', port);
@@ -40,8 +40,8 @@
   t.regex(answer, /"outcome":"not-run"/);
 });
 
-// A sender that never comes to an end would hold its connection for ever once it was refused.
-test('a refused sender that does not end its body has its answer at once and is cut off', async (t) => {
+// Guards against a refused client that never ends its body and so keeps its connection open forever.
+test('a refused client that never ends its body is answered at once and disconnected', async (t) => {
   const { port, close } = await startServer();
   t.teardown(close);
   const { socket, faults, takeText } = await newRawSender('127.0.0.1', port);
--- a/scripts/naive.js
+++ b/scripts/naive.js
@@ -227,7 +227,7 @@
     'event.val.requestId !== generation.requestId',
     'false',
     'apps/entry',
-    '*crossed, cut and silent*',
+    '*crossed, truncated and stalled*',
   ],
   [
     'only the log is read',
