--- a/apps/control/src/newControl.ts
+++ b/apps/control/src/newControl.ts
@@ -14,7 +14,7 @@
   const daemon = newDaemon(PROGRAM, 'control', settings);
   const { clock, log, tasks, runtime } = daemon;
   const { follower, writer } = runtime;
-  const domains = newDomainTasks(daemon);
+  const domainTasks = newDomainTasks(daemon);
 
   const start = async (): Promise<Running> => {
     await daemon.start();
@@ -28,11 +28,11 @@
     tasks.start('checkpoints', (signal) =>
       writeCheckpoints(clock, follower, writer, checkpointLease, signal),
     );
-    runtime.onSettings(domains.follow);
+    runtime.onSettings(domainTasks.startNewDomains);
 
     const drain = async (): Promise<void> => {
-      const held = [reportsLease, checkpointLease, ...domains.leases()];
-      await Promise.all(held.map((lease) => lease.release()));
+      const leases = [reportsLease, checkpointLease, ...domainTasks.leases()];
+      await Promise.all(leases.map((lease) => lease.release()));
       await daemon.stop();
     };
     return { drain };
--- a/apps/control/src/newDomainTasks.ts
+++ b/apps/control/src/newDomainTasks.ts
@@ -8,12 +8,12 @@
 import { newHttpModelEngine } from '@cyclamengate/upstreams/newHttpModelEngine';
 import orderUpstreams from '@cyclamengate/upstreams/orderUpstreams';
 
-const domainsOf = ({ services }: EffectiveSettings): Set<string> =>
+const listFailureDomains = ({ services }: EffectiveSettings): Set<string> =>
   new Set(
     [...services.values()].flatMap(({ pools }) => pools.map(({ failureDomain }) => failureDomain)),
   );
 
-/** For each failure domain in the settings, a lease and the tasks that run under it. */
+/** Runs the tasks of each failure domain in the settings under a lease of its own. */
 const newDomainTasks = (daemon: Daemon) => {
   const { clock, log, metrics, tasks, runtime, settings } = daemon;
   const leases = new Map<string, Lease>();
@@ -38,8 +38,8 @@
           orders,
           writer: runtime.writer,
           lease,
-          onUpstreams: (read) => {
-            upstreams = read;
+          onUpstreams: (listed) => {
+            upstreams = listed;
           },
         },
         signal,
@@ -63,9 +63,12 @@
   };
 
   return {
-    /** Starts what new settings ask for; a domain once seen is kept, to be emptied by orders. */
-    follow: (effective: EffectiveSettings): void =>
-      domainsOf(effective).forEach((failureDomain) => {
+    /**
+     * Starts the tasks of the failure domains that are new in the settings. Those of a removed domain
+     * go on, so that its remaining upstreams are stopped by orders.
+     */
+    startNewDomains: (effective: EffectiveSettings): void =>
+      listFailureDomains(effective).forEach((failureDomain) => {
         if (!leases.has(failureDomain)) startDomain(failureDomain);
       }),
     leases: (): Lease[] => [...leases.values()],
--- a/apps/control/tests/orders.process.test.ts
+++ b/apps/control/tests/orders.process.test.ts
@@ -5,68 +5,75 @@
 
 type System = Awaited<ReturnType<typeof newSystem>>;
 
-const FREEZE_MS = 9_000;
+const SUSPENSION_MS = 9_000;
 
-const countOf = (system: System, service: string): number =>
+const countActiveUpstreams = (system: System, service: string): number =>
   system.platform.fleet
     .statuses()
     .filter((status) => status.service === service && status.state !== 'leaving').length;
 
-/** Whether every order came under a fence at least as high as all before it, in its domain. */
-const isInOrder = (orders: readonly { failureDomain: string; fence: number }[]): boolean => {
-  const highest = new Map<string, number>();
+/** Whether the fencing tokens of the orders of each failure domain never decrease. */
+const areFencesNonDecreasing = (
+  orders: readonly { failureDomain: string; fence: number }[],
+): boolean => {
+  const highestFences = new Map<string, number>();
   return orders.every(({ failureDomain, fence }) => {
-    const isHigher = fence >= (highest.get(failureDomain) ?? -1);
-    highest.set(failureDomain, Math.max(fence, highest.get(failureDomain) ?? -1));
-    return isHigher;
+    const isNotLower = fence >= (highestFences.get(failureDomain) ?? -1);
+    highestFences.set(failureDomain, Math.max(fence, highestFences.get(failureDomain) ?? -1));
+    return isNotLower;
   });
 };
 
-/** What the example settings want at least, by service. */
-const WANTED = { 'tone-assistant': 6, 'client-desk': 3, 'tone-scoring': 1 };
+/** The minimum number of upstreams that the example settings demand, by service. */
+const MIN_UPSTREAMS = { 'tone-assistant': 6, 'client-desk': 3, 'tone-scoring': 1 };
 
-/** Begins with a control process that is killed in its first orders, and lets another one go on. */
-const killControlAmidOrders = async (system: System): Promise<void> => {
-  const beginning = system.begin();
+/** Kills the first control process during its first orders and starts another one to take over. */
+const killControlWhileOrdering = async (system: System): Promise<void> => {
+  const startup = system.begin();
   await waitUntil('orders', async () => system.platform.fleet.received().length >= 3);
   system.control.child.kill('SIGKILL');
   await system.startOne('control', 'control-2', 1);
-  await beginning;
-  await waitUntil('all are there', async () =>
-    Object.entries(WANTED).every(([service, count]) => countOf(system, service) >= count),
+  await startup;
+  await waitUntil('all upstreams are running', async () =>
+    Object.entries(MIN_UPSTREAMS).every(
+      ([service, count]) => countActiveUpstreams(system, service) >= count,
+    ),
   );
   await sleep(2_500);
 };
 
-// The process that orders upstreams is stopped by its machine for longer than its lease, another one
-// takes over, and then the first one goes on in the middle of what it was doing. The platform would
-// get orders from two processes that each believe they are in charge.
+// Guards against orders from two processes that both believe they hold the lease: the ordering process
+// is suspended for longer than its lease, another one takes over, and the first one resumes in the
+// middle of its work.
 test.serial(
-  'a control process that was frozen beyond its lease orders nothing when it resumes',
+  'a control process suspended for longer than its lease orders nothing when it resumes',
   async (t) => {
     const system = await newSystem(1);
     t.teardown(system.stop);
     await system.begin();
     const second = await system.startOne('control', 'control-2', 1);
     system.control.child.kill('SIGSTOP');
-    await sleep(FREEZE_MS);
+    await sleep(SUSPENSION_MS);
     const yaml = await system.exampleWith(
       'minUpstreams: 1, maxUpstreams: 3',
       'minUpstreams: 2, maxUpstreams: 3',
     );
     const published = await system.publish(yaml);
     t.regex(published.text, /"accepted":true/);
-    await waitUntil('the successor orders', async () => countOf(system, 'tone-assistant') >= 12);
+    await waitUntil(
+      'the successor orders',
+      async () => countActiveUpstreams(system, 'tone-assistant') >= 12,
+    );
     system.control.child.kill('SIGCONT');
     await sleep(3_000);
-    t.true(isInOrder(system.platform.fleet.received()));
-    t.is(countOf(system, 'tone-assistant'), 12);
+    t.true(areFencesNonDecreasing(system.platform.fleet.received()));
+    t.is(countActiveUpstreams(system, 'tone-assistant'), 12);
     t.is(second.child.exitCode, null);
   },
 );
 
-// Every answer of the order interface is lost after the order took effect. The naive way orders one
-// more upstream each time and the bill grows.
+// Guards against retries that order one more upstream each time, which grows the bill: the answers of
+// the order interface are lost after the orders took effect.
 test.serial('orders whose answers are lost start no upstream twice', async (t) => {
   const system = await newSystem(1);
   t.teardown(system.stop);
@@ -79,27 +86,29 @@
   });
   await system.begin();
   await sleep(3_000);
-  Object.entries(WANTED).forEach(([service, count]) =>
-    t.is(countOf(system, service), count, service),
+  Object.entries(MIN_UPSTREAMS).forEach(([service, count]) =>
+    t.is(countActiveUpstreams(system, service), count, service),
   );
   t.is(system.platform.fleet.started(), system.platform.fleet.statuses().length);
 });
 
-// The process that orders upstreams is killed in the middle of its first orders.
+// Guards against missing or surplus upstreams when the ordering process is killed during its first
+// orders and another one takes over.
 test.serial(
-  'a successor of a killed control process ends with what is wanted, no more',
+  'the successor of a killed control process ends with exactly the wanted upstreams',
   async (t) => {
     const system = await newSystem(1);
     t.teardown(system.stop);
-    await killControlAmidOrders(system);
-    t.is(countOf(system, 'tone-assistant'), 6);
-    t.true(isInOrder(system.platform.fleet.received()));
+    await killControlWhileOrdering(system);
+    t.is(countActiveUpstreams(system, 'tone-assistant'), 6);
+    t.true(areFencesNonDecreasing(system.platform.fleet.received()));
   },
 );
 
-// The order interface loses its answers, and the process that gets none is killed in between.
+// Guards against missing or surplus upstreams when the order interface loses its answers and the
+// ordering process is killed before it has received one.
 test.serial(
-  'orders with lost answers and a killed control process end with what is wanted',
+  'orders with lost answers and a killed control process end with the wanted upstreams',
   async (t) => {
     const system = await newSystem(1);
     t.teardown(system.stop);
@@ -110,9 +119,9 @@
       times: 10,
       delayMs: 0,
     });
-    await killControlAmidOrders(system);
-    t.is(countOf(system, 'tone-assistant'), 6);
-    t.is(countOf(system, 'client-desk'), 3);
-    t.true(isInOrder(system.platform.fleet.received()));
+    await killControlWhileOrdering(system);
+    t.is(countActiveUpstreams(system, 'tone-assistant'), 6);
+    t.is(countActiveUpstreams(system, 'client-desk'), 3);
+    t.true(areFencesNonDecreasing(system.platform.fleet.received()));
   },
 );
