--- a/apps/cli/src/audit.ts
+++ b/apps/cli/src/audit.ts
@@ -1,9 +1,9 @@
 import type { AuditEntry } from '@cyclamengate/coordination/auditEntry';
-import { EXIT_OK, failed } from './commandOutcome.js';
+import { EXIT_OK, newFailure } from './commandOutcome.js';
 import type { CommandOutcome } from './commandOutcome.js';
 import newLogSession from './newLogSession.js';
 
-const lineOf = (entry: AuditEntry): string =>
+const formatLine = (entry: AuditEntry): string =>
   [
     new Date(entry.at).toISOString(),
     String(entry.offset).padStart(7),
@@ -20,20 +20,20 @@
   log: string;
   /** Only lines of this action, e.g. `settings-change`. */
   action?: string | undefined;
-  /** Only the newest so many lines. */
+  /** Number of newest lines to show. */
   last: number;
 }
 
-/** The audit trail, as far back as the log keeps records. */
+/** Lists the audit trail, as far back as the log retains records. */
 const audit = async ({ log, action, last }: AuditOptions): Promise<CommandOutcome> => {
   const session = newLogSession(log);
   const caughtUp = await session.catchUp();
-  if (!caughtUp.ok) return failed(caughtUp.val);
+  if (!caughtUp.ok) return newFailure(caughtUp.val);
   const entries = session
     .audit()
     .filter((entry) => !action || entry.action === action)
     .slice(-last);
-  return { status: EXIT_OK, text: entries.map(lineOf).join('\n'), json: entries };
+  return { status: EXIT_OK, text: entries.map(formatLine).join('\n'), json: entries };
 };
 
 export default audit;
--- a/apps/cli/src/createKey.ts
+++ b/apps/cli/src/createKey.ts
@@ -5,7 +5,7 @@
 
 const SECRET_BYTES = 24;
 
-/** Makes a caller's key. The key is shown once; only its digest goes into the settings. */
+/** Creates a caller's key. It is shown only once; the settings contain its digest alone. */
 const createKey = (): CommandOutcome => {
   const key = `cgk_${randomBytes(SECRET_BYTES).toString('base64url')}`;
   const keyDigest = digest(key);
--- a/apps/cli/src/loadPlan.ts
+++ b/apps/cli/src/loadPlan.ts
@@ -1,19 +1,19 @@
 import { z } from 'zod';
 
 const customerLoadSchema = z.strictObject({
-  /** A customer of the settings; its key is `keyPrefix` followed by this id, or `key`. */
+  /** Id of a customer in the settings. Its key is `key` or else `keyPrefix` followed by this id. */
   id: z.string(),
   key: z.string().optional(),
-  /** Requests a second, arriving at random moments whether or not earlier ones are answered. */
+  /** Requests per second, sent at random times whether or not earlier ones are answered. */
   requestsPerSecond: z.number().min(0).max(10_000),
 });
 
-/** What a load run sends. Bounded in time and number; to loopback addresses alone. */
+/** The load of a bench run: limited in duration and rate, and sent to loopback addresses only. */
 export const loadPlanSchema = z.strictObject({
   model: z.string(),
   keyPrefix: z.string().default('cgk_demo-'),
   customers: z.array(customerLoadSchema).min(1),
-  /** Spreads this many requests a second over the customers by Zipf's law, on top of their own. */
+  /** Additional requests per second, distributed over the customers by Zipf's law. */
   zipf: z
     .strictObject({
       requestsPerSecond: z.number().min(0).max(10_000),
@@ -21,10 +21,10 @@
     })
     .optional(),
   seconds: z.number().min(0.1).max(600),
-  /** Measured from here on, so that the start does not count. */
+  /** Requests that are due earlier are sent but not measured. */
   warmupSeconds: z.number().min(0).max(600).default(1),
   maxTokens: z.int().min(1).max(10_000).default(32),
-  /** Different prompt prefixes, which upstreams can cache; picked by Zipf's law. */
+  /** Number of different prompt prefixes, which upstreams can cache; chosen by Zipf's law. */
   prefixes: z.int().min(1).max(100_000).default(50),
   timeoutMs: z.int().min(1).max(600_000).default(60_000),
   seed: z.int().default(1),
--- a/apps/cli/src/main.ts
+++ b/apps/cli/src/main.ts
@@ -5,24 +5,24 @@
 
 const DEFAULT_LOG = 'http://127.0.0.1:7000';
 const DEFAULT_WAIT_SECONDS = 10;
-const DEFAULT_LINES = 100;
+const DEFAULT_AUDIT_LINES = 100;
 
-const finish = (outcome: CommandOutcome, isJson: boolean): void => {
+const printOutcome = (outcome: CommandOutcome, isJson: boolean): void => {
   const output = isJson ? JSON.stringify(outcome.json) : outcome.text;
   const stream = outcome.status === 0 || isJson ? process.stdout : process.stderr;
   stream.write(`${output}\n`);
   process.exitCode = outcome.status;
 };
 
-const parseRevisions = (given: readonly string[]): Map<string, number> =>
+const parseRevisions = (pairs: readonly string[]): Map<string, number> =>
   new Map(
-    given.map((pair) => {
+    pairs.map((pair) => {
       const [path = '', revision = ''] = pair.split('=');
       return [path, Number(revision)];
     }),
   );
 
-// The parts load with their command, so that a quick one does not wait for all of them.
+// Each command's module is imported only when the command runs, so that quick commands start fast.
 await yargs(hideBin(process.argv))
   .scriptName('cyclamengate')
   .usage('$0 <command>\n\nOperates the rollout service through the platform log.')
@@ -36,7 +36,7 @@
     (command) => command.positional('file', { type: 'string', demandOption: true }),
     async ({ file, json }) => {
       const { default: validate } = await import('./validate.js');
-      finish(await validate(file), json);
+      printOutcome(await validate(file), json);
     },
   )
   .command(
@@ -60,7 +60,7 @@
     async ({ file, operator, log, peer, wait, basedOn, json }) => {
       const { default: publish } = await import('./publish.js');
       const options = { file, operator, log, peer, wait, basedOn: parseRevisions(basedOn) };
-      finish(await publish(options), json);
+      printOutcome(await publish(options), json);
     },
   )
   .command(
@@ -69,7 +69,7 @@
     (command) => command,
     async ({ log, peer, json }) => {
       const { default: status } = await import('./status.js');
-      finish(await status(log, peer), json);
+      printOutcome(await status(log, peer), json);
     },
   )
   .command(
@@ -78,10 +78,14 @@
     (command) =>
       command
         .option('action', { type: 'string', describe: 'only this action, e.g. settings-change' })
-        .option('last', { type: 'number', default: DEFAULT_LINES, describe: 'newest lines only' }),
+        .option('last', {
+          type: 'number',
+          default: DEFAULT_AUDIT_LINES,
+          describe: 'newest lines only',
+        }),
     async ({ log, action, last, json }) => {
       const { default: audit } = await import('./audit.js');
-      finish(await audit({ log, action, last }), json);
+      printOutcome(await audit({ log, action, last }), json);
     },
   )
   .command(
@@ -99,7 +103,7 @@
         .option('plot', { type: 'string', describe: 'write a plot to this SVG file' }),
     async ({ file, target, plot, json }) => {
       const { default: bench } = await import('./bench.js');
-      finish(await bench({ file, targets: target, plot }), json);
+      printOutcome(await bench({ file, targets: target, plot }), json);
     },
   )
   .command(
@@ -108,7 +112,7 @@
     (command) => command,
     async ({ json }) => {
       const { default: createKey } = await import('./createKey.js');
-      finish(createKey(), json);
+      printOutcome(createKey(), json);
     },
   )
   .example('$0 validate examples/papadakis.yaml', 'check before publishing')
--- a/apps/cli/src/newArrivals.ts
+++ b/apps/cli/src/newArrivals.ts
@@ -1,49 +1,49 @@
 import type { LoadPlan } from './loadPlan.js';
 import newRandom from './newRandom.js';
 
-/** One request to be sent, at a moment that nothing that happens in the run can move. */
+/** One request of a load run; its time does not depend on how earlier requests are answered. */
 export interface Arrival {
   /** Milliseconds after the run's start. */
   atMs: number;
   customer: string;
-  /** Which prompt prefix it begins with. */
+  /** Index of its prompt prefix. */
   prefix: number;
 }
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Weights of ranks by Zipf's law, adding up to one. */
+/** Zipf weights by rank, with a sum of 1. */
 export const zipfWeights = (count: number, exponent: number): number[] => {
   const raw = Array.from({ length: count }, (_, rank) => 1 / (rank + 1) ** exponent);
   const sum = raw.reduce((total, weight) => total + weight, 0);
   return raw.map((weight) => weight / sum);
 };
 
-const pickByWeight = (weights: readonly number[], point: number): number => {
-  let left = point;
+const pickByWeight = (weights: readonly number[], target: number): number => {
+  let remaining = target;
   const found = weights.findIndex((weight) => {
-    left -= weight;
-    return left < 0;
+    remaining -= weight;
+    return remaining < 0;
   });
   return found === -1 ? weights.length - 1 : found;
 };
 
-/** All arrivals of a plan in the order of their moments: Poisson for each customer. */
+/** Generates all arrivals of a plan, sorted by time; those of each customer are a Poisson process. */
 const newArrivals = (plan: LoadPlan): Arrival[] => {
   const random = newRandom(plan.seed);
-  const shares = zipfWeights(plan.customers.length, plan.zipf?.exponent ?? 0);
+  const zipfShares = zipfWeights(plan.customers.length, plan.zipf?.exponent ?? 0);
   const prefixWeights = zipfWeights(plan.prefixes, 1);
-  const endMs = plan.seconds * MILLISECONDS;
+  const endMs = plan.seconds * MILLISECONDS_PER_SECOND;
   const arrivals = plan.customers.flatMap(({ id, requestsPerSecond }, rank) => {
-    const rate = requestsPerSecond + (plan.zipf?.requestsPerSecond ?? 0) * (shares[rank] ?? 0);
-    const own: Arrival[] = [];
+    const rate = requestsPerSecond + (plan.zipf?.requestsPerSecond ?? 0) * (zipfShares[rank] ?? 0);
+    const customerArrivals: Arrival[] = [];
     let atMs = 0;
     while (rate > 0) {
-      atMs += (-Math.log(1 - random()) / rate) * MILLISECONDS;
+      atMs += (-Math.log(1 - random()) / rate) * MILLISECONDS_PER_SECOND;
       if (atMs >= endMs) break;
-      own.push({ atMs, customer: id, prefix: pickByWeight(prefixWeights, random()) });
+      customerArrivals.push({ atMs, customer: id, prefix: pickByWeight(prefixWeights, random()) });
     }
-    return own;
+    return customerArrivals;
   });
   return arrivals.sort((left, right) => left.atMs - right.atMs);
 };
--- a/apps/cli/src/newLogSession.ts
+++ b/apps/cli/src/newLogSession.ts
@@ -8,11 +8,11 @@
 import { Err, Ok } from '@cyclamengate/common/outcome';
 import type { Result } from '@cyclamengate/common/outcome';
 
-const MOST_APPENDS_PER_SECOND = 20;
-const MOST_READ_FAILURES = 5;
-const RETRY_MS = 300;
+const MAX_APPENDS_PER_SECOND = 20;
+const MAX_READ_FAILURES = 5;
+const RETRY_DELAY_MS = 300;
 
-/** The command line's own view of the log, read from its start. */
+/** Reads the log from its start, and writes to it, for a command. */
 const newLogSession = (logUrl: string) => {
   const clock = newSystemClock();
   const log = newHttpPlatformLog(logUrl);
@@ -28,16 +28,16 @@
     follower,
     metrics: newMetrics(),
     writer: 'cyclamengate-cli',
-    appendsPerSecond: () => MOST_APPENDS_PER_SECOND,
+    appendsPerSecond: () => MAX_APPENDS_PER_SECOND,
   });
   follower.onFolded(({ audit: entry }) => {
     if (entry) audit.push(entry);
   });
 
-  /** Reads up to the log's present end. */
+  /** Reads the log up to its current end. */
   const catchUp = async (): Promise<Result<void, string>> => {
     let failures = 0;
-    while (failures < MOST_READ_FAILURES) {
+    while (failures < MAX_READ_FAILURES) {
       const page = await log.read(follower.next());
       if (page.ok) {
         follower.ingest({ ...page.val, logFirst: 0, ageMs: 0 });
@@ -47,17 +47,17 @@
         if (isAtEnd) return Ok(undefined);
       } else {
         failures += 1;
-        await clock.sleepUntil(clock.now() + RETRY_MS);
+        await clock.sleepUntil(clock.now() + RETRY_DELAY_MS);
       }
     }
     return Err('the platform log does not answer');
   };
 
-  const followOn = async (signal: AbortSignal): Promise<void> => {
+  const followLog = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
       const page = await log.read(follower.next(), signal);
       if (page.ok) follower.ingest({ ...page.val, logFirst: 0, ageMs: 0 });
-      else await clock.sleepUntil(clock.now() + RETRY_MS, signal);
+      else await clock.sleepUntil(clock.now() + RETRY_DELAY_MS, signal);
     }
   };
 
@@ -67,10 +67,10 @@
     writer,
     audit: (): readonly AuditEntry[] => audit,
     catchUp,
-    /** Starts writing, and reading on for the decisions. */
+    /** Starts the writer, and goes on reading the log for the decisions on its records. */
     start: (): void => {
       tasks.start('log writer', writer.run);
-      tasks.start('log reader', followOn);
+      tasks.start('log reader', followLog);
     },
     stop: tasks.stop,
   };
--- a/apps/cli/src/newRandom.ts
+++ b/apps/cli/src/newRandom.ts
@@ -1,11 +1,11 @@
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
 
-const STEPS = 2 ** 31;
+const RANGE = 2 ** 31;
 
-/** Seeded random numbers from 0 up to but without 1: the same seed gives the same run. */
+/** Creates a generator of random numbers in [0, 1); the same seed gives the same sequence. */
 const newRandom = (seed: number): (() => number) => {
   const generator = xoroshiro128plus(seed);
-  return () => unsafeUniformIntDistribution(0, STEPS - 1, generator) / STEPS;
+  return () => unsafeUniformIntDistribution(0, RANGE - 1, generator) / RANGE;
 };
 
 export default newRandom;
--- a/apps/cli/src/runLoad.ts
+++ b/apps/cli/src/runLoad.ts
@@ -5,19 +5,19 @@
 import newArrivals from './newArrivals.js';
 import type { Arrival } from './newArrivals.js';
 
-const MOST_CONNECTIONS = 2_000;
-const MICROSECONDS = 1_000;
-const DONE = 'data: [DONE]';
-const LOOPBACK = /^http:\/\/(127\.\d+\.\d+\.\d+|\[::1\]):\d+$/;
+const MAX_CONNECTIONS = 2_000;
+const MICROSECONDS_PER_MILLISECOND = 1_000;
+const DONE_LINE = 'data: [DONE]';
+const LOOPBACK_URL = /^http:\/\/(127\.\d+\.\d+\.\d+|\[::1\]):\d+$/;
 
-/** What was seen of one customer, or of all. */
+/** Request counts and latencies of one customer, or of all customers. */
 export interface LoadFigures {
   customer: string;
   sent: number;
   whole: number;
   refused: number;
   broken: number;
-  /** Milliseconds from the moment a request was due, not from when it could be sent. */
+  /** Percentiles in milliseconds from the time a request was due, not from when it was sent. */
   firstTokenMs: Record<string, number>;
   wholeMs: Record<string, number>;
 }
@@ -52,38 +52,39 @@
   wholeAnswer: newHistogram(),
 });
 
-const percentilesOf = (histogram: Histogram): Record<string, number> =>
+const readPercentiles = (histogram: Histogram): Record<string, number> =>
   Object.fromEntries(
     PERCENTILES.map((percentile) => [
       `p${percentile}`,
-      histogram.getValueAtPercentile(percentile) / MICROSECONDS,
+      histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MILLISECOND,
     ]),
   );
 
-const figuresOf = (customer: string, recorder: Recorder): LoadFigures => ({
+const newFigures = (customer: string, recorder: Recorder): LoadFigures => ({
   customer,
   sent: recorder.sent,
   whole: recorder.whole,
   refused: recorder.refused,
   broken: recorder.broken,
-  firstTokenMs: percentilesOf(recorder.firstToken),
-  wholeMs: percentilesOf(recorder.wholeAnswer),
+  firstTokenMs: readPercentiles(recorder.firstToken),
+  wholeMs: readPercentiles(recorder.wholeAnswer),
 });
 
 const record = (histogram: Histogram, ms: number): void =>
-  histogram.recordValue(Math.max(1, Math.round(ms * MICROSECONDS)));
+  histogram.recordValue(Math.max(1, Math.round(ms * MICROSECONDS_PER_MILLISECOND)));
 
 /**
- * Sends a plan's load, open loop: every request leaves when it is due, however many are still under
- * way, and its time counts from then. A slow system can't slow the load down and look better for it.
+ * Sends the load of a plan as an open loop: every request is sent when it is due, however many are
+ * still in flight, and its latency counts from then. Otherwise a slow system would reduce its own load
+ * and the measured latencies would be too low.
  */
 const runLoad = async (
   targets: readonly string[],
   plan: LoadPlan,
 ): Promise<LoadResult | string> => {
-  const outside = targets.find((target) => !LOOPBACK.test(target));
-  if (outside) return `${outside}: load goes to loopback addresses alone`;
-  const dispatcher = new Agent({ connections: MOST_CONNECTIONS, pipelining: 1 });
+  const notLoopback = targets.find((target) => !LOOPBACK_URL.test(target));
+  if (notLoopback) return `${notLoopback}: load goes to loopback addresses alone`;
+  const dispatcher = new Agent({ connections: MAX_CONNECTIONS, pipelining: 1 });
   const recorders = new Map(plan.customers.map(({ id }) => [id, newRecorder()]));
   const all = newRecorder();
   const keys = new Map(plan.customers.map(({ id, key }) => [id, key ?? `${plan.keyPrefix}${id}`]));
@@ -92,12 +93,12 @@
 
   const send = async ({ atMs, customer, prefix }: Arrival, index: number): Promise<void> => {
     const isMeasured = atMs >= plan.warmupSeconds * 1_000;
-    const own = recorders.get(customer);
-    const into = isMeasured && own ? [own, all] : [];
+    const customerRecorder = recorders.get(customer);
+    const activeRecorders = isMeasured && customerRecorder ? [customerRecorder, all] : [];
     const dueAt = startedAt + atMs;
-    const count = (what: 'sent' | 'whole' | 'refused' | 'broken'): void =>
-      into.forEach((recorder) => {
-        recorder[what] += 1;
+    const count = (outcome: 'sent' | 'whole' | 'refused' | 'broken'): void =>
+      activeRecorders.forEach((recorder) => {
+        recorder[outcome] += 1;
       });
     count('sent');
     try {
@@ -124,14 +125,18 @@
       let text = '';
       for await (const chunk of answer.body) {
         if (text === '')
-          into.forEach(({ firstToken }) => record(firstToken, performance.now() - dueAt));
+          activeRecorders.forEach(({ firstToken }) =>
+            record(firstToken, performance.now() - dueAt),
+          );
         text += String(chunk);
       }
-      const isWhole = text.includes(DONE);
-      count(isWhole ? 'whole' : 'broken');
+      const isComplete = text.includes(DONE_LINE);
+      count(isComplete ? 'whole' : 'broken');
       if (isMeasured) tokens += text.split('"finish_reason":null').length - 1;
-      if (isWhole)
-        into.forEach(({ wholeAnswer }) => record(wholeAnswer, performance.now() - dueAt));
+      if (isComplete)
+        activeRecorders.forEach(({ wholeAnswer }) =>
+          record(wholeAnswer, performance.now() - dueAt),
+        );
     } catch {
       count('broken');
     }
@@ -142,20 +147,20 @@
       setTimeout(resolve, Math.max(0, startedAt + dueMs - performance.now()));
     });
 
-  const sending: Promise<void>[] = [];
+  const pendingRequests: Promise<void>[] = [];
   for (const [index, arrival] of newArrivals(plan).entries()) {
     if (startedAt + arrival.atMs > performance.now() + 1) await waitUntil(arrival.atMs);
-    sending.push(send(arrival, index));
+    pendingRequests.push(send(arrival, index));
   }
-  await Promise.all(sending);
+  await Promise.all(pendingRequests);
   await dispatcher.destroy();
-  const seconds = plan.seconds - plan.warmupSeconds;
+  const measuredSeconds = plan.seconds - plan.warmupSeconds;
   return {
-    seconds,
-    customers: [...recorders].map(([customer, recorder]) => figuresOf(customer, recorder)),
-    all: figuresOf('all', all),
-    tokensPerSecond: tokens / seconds,
-    requestsPerSecond: all.whole / seconds,
+    seconds: measuredSeconds,
+    customers: [...recorders].map(([customer, recorder]) => newFigures(customer, recorder)),
+    all: newFigures('all', all),
+    tokensPerSecond: tokens / measuredSeconds,
+    requestsPerSecond: all.whole / measuredSeconds,
   };
 };
 
--- a/apps/cli/src/status.ts
+++ b/apps/cli/src/status.ts
@@ -1,37 +1,37 @@
 import newPeer from '@cyclamengate/coordination/newPeer';
 import type { Member } from '@cyclamengate/coordination/member';
-import { EXIT_OK, failed } from './commandOutcome.js';
+import { EXIT_OK, newFailure } from './commandOutcome.js';
 import type { CommandOutcome } from './commandOutcome.js';
 import newLogSession from './newLogSession.js';
 
-const conditionOf = (member: Member, isSilent: boolean): string => {
+const formatState = (member: Member, isSilent: boolean): string => {
   if (isSilent) return 'silent';
   return member.isLeaving ? 'leaving' : 'live';
 };
 
-const lineOf = (member: Member, isSilent: boolean): string =>
+const formatLine = (member: Member, isSilent: boolean): string =>
   [
     member.id.padEnd(24),
     member.role.padEnd(8),
     member.failureDomain.padEnd(14),
     `offset ${member.offset}`.padEnd(14),
-    conditionOf(member, isSilent),
+    formatState(member, isSilent),
   ].join(' ');
 
-const byId = (left: Member, right: Member): number => (left.id < right.id ? -1 : 1);
+const compareIds = (left: Member, right: Member): number => (left.id < right.id ? -1 : 1);
 
-/** What a peer knows of the members, and what the log holds. */
+/** Shows the members that a peer knows, and the settings and leases in the log. */
 const status = async (logUrl: string, peerUrl: string | undefined): Promise<CommandOutcome> => {
   const session = newLogSession(logUrl);
   const caughtUp = await session.catchUp();
-  const seen = peerUrl ? await newPeer(peerUrl).members() : null;
-  if (!caughtUp.ok && !seen?.ok) return failed(caughtUp.val);
+  const members = peerUrl ? await newPeer(peerUrl).members() : null;
+  if (!caughtUp.ok && !members?.ok) return newFailure(caughtUp.val);
   const state = session.follower.state();
   const leases = Object.entries(state.leases).map(
     ([name, lease]) => `${name.padEnd(24)} ${lease.holder || '(free)'} fence ${lease.fence}`,
   );
-  const live = seen?.ok ? seen.val.live.sort(byId) : [];
-  const silent = seen?.ok ? seen.val.silent.sort(byId) : [];
+  const live = members?.ok ? members.val.live.sort(compareIds) : [];
+  const silent = members?.ok ? members.val.silent.sort(compareIds) : [];
   const text = [
     caughtUp.ok ? `log: offset ${state.offset}` : `log: ${caughtUp.val}`,
     `subtrees: ${
@@ -40,8 +40,8 @@
         .join(', ') || 'none'
     }`,
     'members:',
-    ...live.map((member) => `  ${lineOf(member, false)}`),
-    ...silent.map((member) => `  ${lineOf(member, true)}`),
+    ...live.map((member) => `  ${formatLine(member, false)}`),
+    ...silent.map((member) => `  ${formatLine(member, true)}`),
     'leases:',
     ...leases.map((line) => `  ${line}`),
   ].join('\n');
