--- a/apps/rollout/src/newRollout.ts
+++ b/apps/rollout/src/newRollout.ts
@@ -10,10 +10,10 @@
 import newTrainerHandlers from './newTrainerHandlers.js';
 
 const PROGRAM = 'cyclamengate-rollout';
-/** After this time a process has heard of every live peer. */
-const SETTLE_MS = 15_000;
+/** A process knows every live peer this long after its start. */
+const PEER_DISCOVERY_MS = 15_000;
 
-/** The process that trainers talk to. */
+/** The process that serves trainers' requests. */
 const newRollout = (settings: HostSettings) => {
   const store = newPayloadStore();
   const daemon = newDaemon(PROGRAM, 'rollout', settings, {
@@ -22,24 +22,29 @@
   });
   const { clock, log, metrics, runtime, app } = daemon;
   const { follower, writer, membership, peerAt, self } = runtime;
-  const settledAt = clock.now() + SETTLE_MS;
+  const peersKnownAt = clock.now() + PEER_DISCOVERY_MS;
   const copies = newPayloadCopies({
     store,
     self,
     others: () => membership.others().filter(({ role }) => role === 'rollout'),
     peerAt,
-    isSettled: () => clock.now() >= settledAt,
+    isSettled: () => clock.now() >= peersKnownAt,
   });
 
-  /** Entries of the own failure domain first; those in the settings while no peer is known. */
+  /**
+   * Picks a random entry, from the own failure domain if possible, or one from the settings while no
+   * live entry is known.
+   */
   const pickEntry = (): string | null => {
     const entries = membership
       .others()
       .filter(({ role, isLeaving }) => role === 'entry' && !isLeaving);
-    const near = entries.filter(({ failureDomain }) => failureDomain === settings.failureDomain);
-    const known = (near.length > 0 ? near : entries).map(({ url }) => url);
-    const from = known.length > 0 ? known : settings.entries;
-    return from[Math.floor(Math.random() * from.length)] ?? null;
+    const inSameDomain = entries.filter(
+      ({ failureDomain }) => failureDomain === settings.failureDomain,
+    );
+    const peerUrls = (inSameDomain.length > 0 ? inSameDomain : entries).map(({ url }) => url);
+    const candidates = peerUrls.length > 0 ? peerUrls : settings.entries;
+    return candidates[Math.floor(Math.random() * candidates.length)] ?? null;
   };
 
   const runner = newStepRunner({
@@ -61,7 +66,7 @@
   app.get('/v1/trainers/:trainer/steps/:step/samples', handler(onFault, handlers.sendSamples));
   metrics.gauge('payload_bytes', store.bytes);
 
-  /** Samples not bound yet are made anew by whichever process the trainer asks next. */
+  /** Does not wait for unbound samples: the process that the trainer asks next generates them again. */
   const drain = async (): Promise<void> => {
     await daemon.announceLeaving();
     await daemon.stop();
--- a/apps/rollout/tests/rollout.process.test.ts
+++ b/apps/rollout/tests/rollout.process.test.ts
@@ -29,20 +29,21 @@
   return { system, rollouts, trainer };
 };
 
-const models = (system: System) =>
+const listModelUpstreams = (system: System) =>
   [...system.platform.fleet.running.values()].filter(({ status }) => status.service === MODEL);
 
-const areAllAt = (system: System, version: number): boolean =>
-  models(system).length > 0 &&
-  models(system).every(({ engine }) => engine.status().versions[TRAINER] === version);
+const areAllAtVersion = (system: System, version: number): boolean =>
+  listModelUpstreams(system).length > 0 &&
+  listModelUpstreams(system).every(({ engine }) => engine.status().versions[TRAINER] === version);
 
-const isWholeStep = (samples: { slot: number }[]): boolean =>
+const isCompleteStep = (samples: { slot: number }[]): boolean =>
   samples.length === PROMPTS.length * GROUP_SIZE &&
   new Set(samples.map(({ slot }) => slot)).size === samples.length;
 
-// A rollout process is killed in the middle of a step, with samples made, bound, copied and read.
+// Guards against missing or duplicate samples when a rollout process is killed in the middle of a step,
+// while samples are generated, bound, copied and read.
 test.serial(
-  'a step is whole and without repetition when its process is killed in the middle',
+  'a step is complete and without duplicates when its process is killed in the middle',
   async (t) => {
     const { system, rollouts, trainer } = await newTraining({ tokenDelayMs: 15 });
     t.teardown(system.stop);
@@ -51,13 +52,14 @@
     await sleep(1_200);
     rollouts[0]!.child.kill('SIGKILL');
     const { samples } = await step;
-    t.true(isWholeStep(samples));
+    t.true(isCompleteStep(samples));
   },
 );
 
-// The rollout process is stopped in the middle of a step and resumes after another has filled it.
+// Guards against changes to a completed step: its rollout process is suspended in the middle of the
+// step and resumes after another one has filled it.
 test.serial(
-  'a process that was frozen in the middle of a step adds nothing to it afterwards',
+  'a process suspended in the middle of a step adds nothing to it afterwards',
   async (t) => {
     const { system, rollouts, trainer } = await newTraining({ tokenDelayMs: 15 });
     t.teardown(system.stop);
@@ -66,30 +68,30 @@
     await sleep(900);
     rollouts[0]!.child.kill('SIGSTOP');
     const { samples } = await step;
-    t.true(isWholeStep(samples));
+    t.true(isCompleteStep(samples));
     rollouts[0]!.child.kill('SIGCONT');
     await sleep(2_000);
-    const again = newTrainerStandin({
+    const secondTrainer = newTrainerStandin({
       rollouts: [rollouts[0]!.url],
       trainer: TRAINER,
       key: keyOf('workshop'),
     });
-    const reread = await again.runStep(1, PROMPTS, GROUP_SIZE, 40);
+    const reread = await secondTrainer.runStep(1, PROMPTS, GROUP_SIZE, 40);
     t.deepEqual(reread.samples, samples);
   },
 );
 
-// Weights change while samples are being generated, so one sample is made by two versions.
-test.serial('samples name the versions that their engine reported, token by token', async (t) => {
+// Guards against attributing a sample to a single version when weights change while it is generated.
+test.serial('samples name the version that their engine reported for each token', async (t) => {
   const { system, trainer } = await newTraining({ tokenDelayMs: 40, loadMs: 100 });
   t.teardown(system.stop);
   await trainer.publishWeights(1);
-  await waitUntil('version 1 everywhere', async () => areAllAt(system, 1));
+  await waitUntil('version 1 everywhere', async () => areAllAtVersion(system, 1));
   const step = trainer.runStep(1, PROMPTS, GROUP_SIZE, 80);
   await sleep(800);
   await trainer.publishWeights(2);
   const { samples } = await step;
-  t.true(isWholeStep(samples));
+  t.true(isCompleteStep(samples));
   const mixed = samples.filter(({ segments }) => segments.length > 1);
   t.true(mixed.length > 0);
   samples.forEach(({ segments }) => {
@@ -101,16 +103,16 @@
   });
 });
 
-// A swap ends half way on one engine, whose version is then unknown; orders' answers get lost; one
-// engine crashes. All engines must come to the new version without a person's help.
+// Guards against engines that stay on an old or unknown version until an operator intervenes: swaps
+// fail midway and leave the version unknown, answers to weight orders get lost, and an engine crashes.
 test.serial(
   'a new version reaches all engines through failed swaps, lost answers and a crash',
   async (t) => {
     const { system, trainer } = await newTraining({ loadMs: 200 });
     t.teardown(system.stop);
     await trainer.publishWeights(1);
-    await waitUntil('version 1 everywhere', async () => areAllAt(system, 1));
-    const [first, second] = models(system);
+    await waitUntil('version 1 everywhere', async () => areAllAtVersion(system, 1));
+    const [first, second] = listModelUpstreams(system);
     const { faults } = system.platform;
     faults.set({ target: 'any-upstream', fault: 'fail-swap', isOn: true, times: 2, delayMs: 0 });
     faults.set({
@@ -124,15 +126,15 @@
     second!.engine.crash();
     await waitUntil(
       'version 2 everywhere',
-      async () => areAllAt(system, 2) && models(system).length >= 6,
+      async () => areAllAtVersion(system, 2) && listModelUpstreams(system).length >= 6,
     );
     t.pass();
   },
 );
 
-// The process that rolls weights out is stopped in the middle and another one goes on. Then it
-// resumes, and some engines ignore the fencing number: an old order would bring old weights back.
-test.serial('a frozen rollout of weights brings no old version back when it resumes', async (t) => {
+// Guards against an old order that loads old weights again: the process that rolls out weights is
+// suspended, another one takes over, and the first one resumes while engines ignore fencing tokens.
+test.serial('a suspended rollout of weights restores no old version on resuming', async (t) => {
   const { system, trainer } = await newTraining({ loadMs: 400 });
   t.teardown(system.stop);
   await system.startOne('control', 'control-2', 1);
@@ -140,7 +142,7 @@
   await sleep(600);
   system.control.child.kill('SIGSTOP');
   await trainer.publishWeights(2);
-  await waitUntil('version 2 everywhere', async () => areAllAt(system, 2));
+  await waitUntil('version 2 everywhere', async () => areAllAtVersion(system, 2));
   system.platform.faults.set({
     target: 'any-upstream',
     fault: 'ignore-fence',
@@ -150,8 +152,8 @@
   });
   system.control.child.kill('SIGCONT');
   await sleep(4_000);
-  t.true(areAllAt(system, 2));
-  models(system).forEach(({ engine }) => {
+  t.true(areAllAtVersion(system, 2));
+  listModelUpstreams(system).forEach(({ engine }) => {
     const versions = engine.orders().map(({ version }) => version);
     t.deepEqual(
       versions,
@@ -160,31 +162,33 @@
   });
 });
 
-// All engines that load at once would leave nobody to serve, and overrun the weight store.
+// Guards against loading weights on all engines at once, which leaves none to serve requests and
+// overloads the weight store.
 test.serial('while weights are rolled out some engines of each domain go on serving', async (t) => {
   const { system, trainer } = await newTraining({ loadMs: 600 });
   t.teardown(system.stop);
   await trainer.publishWeights(1);
   const startedAt = performance.now();
-  let mostLoading = 0;
+  let maxLoading = 0;
   await waitUntil('version 1 everywhere', async () => {
-    const domains = new Map<string, number>();
-    models(system).forEach(({ status, engine }) => {
+    const loadingByDomain = new Map<string, number>();
+    listModelUpstreams(system).forEach(({ status, engine }) => {
       const isLoading = Object.keys(engine.status().loading).length > 0;
-      domains.set(
+      loadingByDomain.set(
         status.failureDomain,
-        (domains.get(status.failureDomain) ?? 0) + Number(isLoading),
+        (loadingByDomain.get(status.failureDomain) ?? 0) + Number(isLoading),
       );
     });
-    mostLoading = Math.max(mostLoading, ...domains.values());
-    return areAllAt(system, 1);
+    maxLoading = Math.max(maxLoading, ...loadingByDomain.values());
+    return areAllAtVersion(system, 1);
   });
   t.log(`all engines after ${Math.round(performance.now() - startedAt)} ms`);
-  t.is(mostLoading, 1);
+  t.is(maxLoading, 1);
 });
 
-// A zone's cheap upstreams are taken back with two seconds' notice in the middle of a step.
-test.serial('a reclaimed zone harms no sample of the step that ran on it', async (t) => {
+// Guards against losing samples when the platform reclaims the cheap upstreams of a failure domain with
+// two seconds' notice in the middle of a step.
+test.serial('a step loses no sample when a failure domain is reclaimed', async (t) => {
   const { system, trainer } = await newTraining({ tokenDelayMs: 20 });
   t.teardown(system.stop);
   await trainer.publishWeights(1);
@@ -196,5 +200,5 @@
   });
   t.is(answer.statusCode, 200);
   const { samples } = await step;
-  t.true(isWholeStep(samples));
+  t.true(isCompleteStep(samples));
 });
