--- a/apps/entry/src/newEntry.ts
+++ b/apps/entry/src/newEntry.ts
@@ -31,9 +31,9 @@
  * failure domain.
  */
 const newUsageReplicator = ({ runtime, settings }: Daemon) => {
-  let wasEmpty = true;
+  let wasLastCopyEmpty = true;
   return async (deltas: UsageDelta[]): Promise<void> => {
-    if (deltas.length === 0 && wasEmpty) return;
+    if (deltas.length === 0 && wasLastCopyEmpty) return;
     const entries = runtime.membership.others().filter(({ role }) => role === 'entry');
     const inOtherDomain = entries.find(
       ({ failureDomain }) => failureDomain !== settings.failureDomain,
@@ -41,7 +41,7 @@
     const peer = inOtherDomain ?? entries[0];
     if (!peer) return;
     const copied = await runtime.peerAt(peer.peerUrl).keepUsage(runtime.incarnation, deltas);
-    wasEmpty = copied.ok && deltas.length === 0;
+    wasLastCopyEmpty = copied.ok && deltas.length === 0;
   };
 };
 
--- a/apps/entry/src/newGate.ts
+++ b/apps/entry/src/newGate.ts
@@ -16,8 +16,8 @@
 
 /** Settings count as too old if the host could not confirm for this long that they are current. */
 export const MAX_SETTINGS_AGE_MS = 10_000;
-const DEFAULT_REQUEST_TIMEOUT_MS = 60_000;
-const MAX_REQUEST_TIMEOUT_MS = 600_000;
+const DEFAULT_QUEUE_TIMEOUT_MS = 60_000;
+const MAX_QUEUE_TIMEOUT_MS = 600_000;
 
 /** A request that passed the checks of the gate and may be queued. */
 export interface AdmittedRequest {
@@ -29,9 +29,9 @@
   body: Buffer;
 }
 
-const readTimeoutMs = (header: string | string[] | undefined): number => {
-  const requested = Number(header ?? DEFAULT_REQUEST_TIMEOUT_MS);
-  return requested > 0 ? Math.min(MAX_REQUEST_TIMEOUT_MS, requested) : DEFAULT_REQUEST_TIMEOUT_MS;
+const readQueueTimeoutMs = (header: string | string[] | undefined): number => {
+  const requested = Number(header ?? DEFAULT_QUEUE_TIMEOUT_MS);
+  return requested > 0 ? Math.min(MAX_QUEUE_TIMEOUT_MS, requested) : DEFAULT_QUEUE_TIMEOUT_MS;
 };
 
 /** Checks a request before it is queued: its key, the age of the settings, its headers and body. */
@@ -61,7 +61,7 @@
     const priority = prioritySchema.safeParse(request.headers['x-priority'] ?? 'interactive');
     if (!priority.success)
       return Err(notRun('bad-request', 'x-priority: allowed: interactive, background, training'));
-    const deadline = clock.now() + readTimeoutMs(request.headers['x-timeout-ms']);
+    const deadline = clock.now() + readQueueTimeoutMs(request.headers['x-timeout-ms']);
     const body = await readRequestBody(request);
     if (!body.ok) return body;
     return Ok({ requestId, caller: caller.val, priority: priority.data, deadline, body: body.val });
--- a/apps/entry/tests/entry.process.test.ts
+++ b/apps/entry/tests/entry.process.test.ts
@@ -80,7 +80,7 @@
   t.teardown(system.stop);
   await system.begin();
   const [one, two] = system.entries;
-  const open = system.complete(one!, 'players', { max_tokens: 5_000 });
+  const openStream = system.complete(one!, 'players', { max_tokens: 5_000 });
   const other = system.complete(two!, 'teachers', { max_tokens: 200 });
   const yaml = `subtrees:
   /papadakis:
@@ -90,7 +90,7 @@
   const { default: digest } = await import('@cyclamengate/common/digest');
   const published = await system.publish(yaml.replace('DIGEST', digest(keyOf('teachers'))));
   t.is(published.status, 0, published.text);
-  const ended = await open;
+  const ended = await openStream;
   t.regex(ended.text, /"code":"key-withdrawn","outcome":"partial"/);
   t.false(isWhole(ended));
   for (const entry of [one!, two!]) t.is((await system.complete(entry, 'players')).status, 401);
@@ -103,7 +103,7 @@
   t.teardown(system.stop);
   await system.begin();
   const [one] = system.entries;
-  const open = system.complete(one!, 'teachers', { max_tokens: 250 });
+  const openStream = system.complete(one!, 'teachers', { max_tokens: 250 });
   await waitUntil('the stream runs', async () => {
     const metrics = await (await request(`${one!.url}/metrics`)).body.text();
     return metrics.includes('open_requests 1');
@@ -114,7 +114,7 @@
     await ready.body.dump();
     return ready.statusCode === 503;
   });
-  t.true(isWhole(await open));
+  t.true(isWhole(await openStream));
   await ended;
   t.is(one!.child.exitCode, 0);
   await waitUntil('the usage is reported', async () =>
@@ -132,13 +132,13 @@
   await system.begin();
   const [entry] = system.entries;
   const disconnect = new AbortController();
-  const asking = request(`${entry!.url}/v1/completions`, {
+  const pendingResponse = request(`${entry!.url}/v1/completions`, {
     method: 'POST',
     signal: disconnect.signal,
     headers: { authorization: `Bearer ${keyOf('players')}`, 'content-type': 'application/json' },
     body: JSON.stringify({ model: 'tone-assistant', prompt: 'x', max_tokens: 9_000, stream: true }),
   });
-  const answer = await asking;
+  const answer = await pendingResponse;
   answer.body.on('error', () => undefined);
   const countActive = (): number =>
     [...system.platform.fleet.running.values()].reduce(
