--- a/packages/hosts/src/UsageReports.ts
+++ b/packages/hosts/src/UsageReports.ts
@@ -7,11 +7,11 @@
   fencingToken: number;
 }
 
-/** What the platform said to a report; `unknown` may have been taken. */
+/** The platform's response to a report; after `unknown` the report may have been accepted. */
 export type ReportOutcome = 'taken' | 'refused' | 'unknown';
 
-/** The platform's interface that takes usage reports. */
+/** The platform's interface for usage reports. */
 export default abstract class UsageReports {
-  /** @param signal ends the call, and resets its connection so that unsent bytes are dropped */
+  /** @param signal aborts the call and resets its connection so that unsent bytes are discarded */
   abstract send(report: UsageReport, signal: AbortSignal): Promise<ReportOutcome>;
 }
--- a/packages/hosts/src/coordinationRecord.ts
+++ b/packages/hosts/src/coordinationRecord.ts
@@ -1,28 +1,28 @@
 import { z } from 'zod';
 
-/** Requests of each customer that began to run in a usage window. */
+/** Number of each customer's requests that started in a usage window. */
 export const usageCountsSchema = z.record(z.string(), z.int().min(0));
 
 export type UsageCounts = z.infer<typeof usageCountsSchema>;
 
-/** A host is there, and what others need to know of it. */
+/** Announces that a host is live, with the state that other hosts need. */
 export const heartbeatSchema = z.object({
   type: z.literal('heartbeat'),
   host: z.string(),
-  /** This run of the host's process. */
+  /** Unique to this run of the host's process. */
   incarnation: z.string(),
-  /** Of this heartbeat within the run, from 1; 0 where a host of an older version gives none. */
+  /** Sequence number within the incarnation, from 1; 0 if the host's version sends none. */
   number: z.int().default(0),
   failureDomain: z.string(),
-  /** Where other hosts reach it: IP address and port. */
+  /** IP address and port at which other hosts reach this one. */
   address: z.string(),
-  /** Cores that it has, in parts of one. */
+  /** Number of cores; may be fractional. */
   cores: z.number().min(0),
-  /** The host finishes what it has and takes nothing new. */
+  /** The host is draining: it finishes its work and accepts no new work. */
   isLeaving: z.boolean(),
-  /** Requests that the host runs at each upstream. */
+  /** Number of requests that the host is running at each upstream. */
   running: z.record(z.string(), z.int()),
-  /** Counts of whole windows of usage, by window number; totals, so that a repeat changes nothing. */
+  /** Usage counts by window number; totals, so that applying them again changes nothing. */
   usage: z.record(z.string(), usageCountsSchema),
   /** The newest window whose counts on this host are final. */
   countedThrough: z.int(),
@@ -30,30 +30,30 @@
 
 export type Heartbeat = z.infer<typeof heartbeatSchema>;
 
-/** A host takes or renews a lease. Void unless `previous` is the lease's newest record. */
+/** Claims, renews or releases a lease. Void unless `previous` is the lease's newest record. */
 export const leaseClaimSchema = z.object({
   type: z.literal('lease'),
   subject: z.string(),
   host: z.string(),
   incarnation: z.string(),
-  /** Number of this claim within the run of the process. */
+  /** Sequence number of this claim within the incarnation. */
   number: z.int(),
-  /** Offset of the record that this one follows; -1 for none. */
+  /** Offset of the lease's previous valid record; -1 for none. */
   previous: z.int(),
-  /** The holder gives the lease back. */
+  /** The holder releases the lease. */
   isReleased: z.boolean(),
 });
 
 export type LeaseClaim = z.infer<typeof leaseClaimSchema>;
 
-/** The counts of a window are fixed; whoever reports it sends these. */
+/** Fixes the counts of a window; every report of the window contains these counts. */
 export const usageCloseSchema = z.object({
   type: z.literal('usage-close'),
   window: z.int(),
   counts: usageCountsSchema,
 });
 
-/** The platform has taken the report of a window. */
+/** The platform has responded to the report of a window, so it is not sent again. */
 export const usageReportedSchema = z.object({
   type: z.literal('usage-reported'),
   window: z.int(),
--- a/packages/hosts/src/newHeartbeatOrder.ts
+++ b/packages/hosts/src/newHeartbeatOrder.ts
@@ -1,34 +1,40 @@
 import type { Heartbeat } from './coordinationRecord.js';
 
-type Place = Pick<Heartbeat, 'host' | 'incarnation' | 'number'>;
+type HeartbeatPosition = Pick<Heartbeat, 'host' | 'incarnation' | 'number'>;
 
-interface Known {
+interface NewestHeartbeat {
   incarnation: string;
   number: number;
-  /** Earlier runs of the host's process. */
-  former: Set<string>;
+  /** Earlier incarnations of the host. */
+  formerIncarnations: Set<string>;
 }
 
 /**
- * Tells a host's newest heartbeat from one that comes late.
+ * Filters out heartbeats that are older than one already read of the same host.
  *
- * A host that does not reach the store has another one write its heartbeat, which may be slow: it
- * stands in the log behind those that the first one has written since. Taken for news it would say
- * that a host leaves that is back, whose batches others would begin, and bring back older counts.
+ * A host that cannot reach the store has a peer write its heartbeat. A slow peer may append it
+ * after newer heartbeats that the host has since written itself. Applying the old one could mark a
+ * recovered host as leaving, so that other hosts begin its batches, and restore older usage counts.
  */
 const newHeartbeatOrder = () => {
-  const hosts = new Map<string, Known>();
+  const hosts = new Map<string, NewestHeartbeat>();
 
-  const isOfNewRun = ({ incarnation }: Place, known: Known | undefined): boolean =>
-    !known || (known.incarnation !== incarnation && !known.former.has(incarnation));
+  const isNewIncarnation = (
+    { incarnation }: HeartbeatPosition,
+    known: NewestHeartbeat | undefined,
+  ): boolean =>
+    !known || (known.incarnation !== incarnation && !known.formerIncarnations.has(incarnation));
 
-  /** Whether a heartbeat is newer than all of its host before; notes it then. */
-  const isNews = (heartbeat: Place): boolean => {
+  /** Whether a heartbeat is newer than all earlier ones of its host; if so, it is recorded. */
+  const recordIfNewer = (heartbeat: HeartbeatPosition): boolean => {
     const { host, incarnation, number } = heartbeat;
     const known = hosts.get(host);
-    if (isOfNewRun(heartbeat, known)) {
-      const former = new Set([...(known?.former ?? []), ...(known ? [known.incarnation] : [])]);
-      hosts.set(host, { incarnation, number, former });
+    if (isNewIncarnation(heartbeat, known)) {
+      const formerIncarnations = new Set([
+        ...(known?.formerIncarnations ?? []),
+        ...(known ? [known.incarnation] : []),
+      ]);
+      hosts.set(host, { incarnation, number, formerIncarnations });
       return true;
     }
     if (known?.incarnation !== incarnation) return false;
@@ -37,7 +43,7 @@
     return true;
   };
 
-  return { isNews };
+  return { isNews: recordIfNewer };
 };
 
 export default newHeartbeatOrder;
--- a/packages/hosts/src/newLeaseKeeper.ts
+++ b/packages/hosts/src/newLeaseKeeper.ts
@@ -4,22 +4,22 @@
 import type { LeaseClaim } from './coordinationRecord.js';
 import type { Leases } from './newLeases.js';
 
-/** Others wait this much longer than the term, against drift of clocks and late wake-ups. */
+/** Extra time that other hosts wait after the term, to allow for clock drift and late timers. */
 export const TAKEOVER_MARGIN_MS = 300;
-/** A wall clock that runs ahead of the monotonic one by more than this shows a suspended host. */
-const SUSPENDED_MS = 250;
-/** Also how late a free lease is noticed, beside the term of three seconds. */
-const CHECK_EVERY_MS = 200;
-/** Hosts further down the order wait so much longer each, so that they do not all claim at once. */
-const RANK_DELAY_MS = 150;
-/** Claims that are remembered; one a second is made, each lives three. */
-const KEPT_CLAIMS = 16;
-/** A claim that was written is read back within this, at the usual pace of reading. */
-const READ_BACK_MS = 450;
-/** How long a fresh process only reads, so that it knows the newest claims. */
-const SETTLE_MS = 500;
-
-/** Proof that this host held a lease when it asked. */
+/** If the wall clock gains more than this on the monotonic clock, the host was suspended. */
+const MAX_WALL_CLOCK_LEAD_MS = 250;
+/** Also the delay until a free lease is noticed, which adds to the term of three seconds. */
+const CHECK_INTERVAL_MS = 200;
+/** Additional delay for each rank, so that hosts do not all claim a free lease at once. */
+const CLAIM_DELAY_PER_RANK_MS = 150;
+/** A holder makes one claim per second, and each is valid for three seconds. */
+const MAX_TRACKED_CLAIMS = 16;
+/** A written claim is read from the log within this time at the usual read interval. */
+const CLAIM_READ_TIMEOUT_MS = 450;
+/** A new process only reads for this long, so that it knows the newest claims before it claims. */
+const STARTUP_READ_MS = 500;
+
+/** A lease that this host held at the time of the call, with its fencing token. */
 export interface Hold {
   subject: string;
   token: number;
@@ -34,50 +34,50 @@
   incarnation: string;
   termMs: number;
   write: (claim: LeaseClaim, deadline: number) => Promise<WriteOutcome>;
-  /** This host's place among those that may hold the lease, 0 first; null if it should not run. */
+  /** This host's rank among the candidates for the lease, from 0; null if it is no candidate. */
   rank: () => number | null;
-  /** Whether the view of the log is new enough to claim on. */
+  /** Whether the view of the log is recent enough to base a claim on. */
   isFresh: () => boolean;
 }
 
 /**
- * Holds one lease for this host whenever it is its turn.
+ * Claims and renews one lease for this host according to its rank.
  *
- * The deadline is counted from before the claim was written, by the monotonic clock. That clock
- * stops while a machine is suspended, and the holder would wake up believing in a term that is over;
- * so the wall clock is read as well, and a jump ahead of it ends every hold. It may only shorten a
- * hold: a wall clock that is set back changes nothing.
+ * The deadline is counted on the monotonic clock from before the claim was written. That clock
+ * stops while a machine is suspended, so a resumed holder could act on a term that has ended.
+ * Therefore a jump of the wall clock ahead of the monotonic clock invalidates all claims. The wall
+ * clock can only shorten a hold: setting it back changes nothing.
  */
 const newLeaseKeeper = (options: LeaseKeeperOptions) => {
   const { clock, log, leases, subject, host, incarnation, termMs, write, rank, isFresh } = options;
   const startedAt = clock.now();
-  /** When each claim of ours was made; the fold says which of them counts. */
+  /** When each claim of this host was made; `leases` determines which of them is valid. */
   const claimedAt = new Map<number, number>();
-  let claims = 0;
-  let pendingUntil = -Infinity;
-  let wallLead = clock.wallTime() - clock.now();
+  let claimCount = 0;
+  let claimPendingUntil = -Infinity;
+  let wallClockLeadMs = clock.wallTime() - clock.now();
   let freeSince: number | null = null;
   let isResigned = false;
 
-  const endIfSuspended = (): void => {
-    const lead = clock.wallTime() - clock.now();
-    if (lead - wallLead > SUSPENDED_MS && claimedAt.size > 0) {
-      log.warn('lease.suspended', { subject, aheadMs: Math.round(lead - wallLead) });
+  const invalidateClaimsIfSuspended = (): void => {
+    const leadMs = clock.wallTime() - clock.now();
+    if (leadMs - wallClockLeadMs > MAX_WALL_CLOCK_LEAD_MS && claimedAt.size > 0) {
+      log.warn('lease.suspended', { subject, aheadMs: Math.round(leadMs - wallClockLeadMs) });
       claimedAt.clear();
     }
-    wallLead = lead;
+    wallClockLeadMs = leadMs;
   };
 
-  /** End of the newest claim that counts; a claim that lost a race extends nothing. */
+  /** End of the newest valid claim; a claim that lost a race does not extend the term. */
   const deadline = (): number => {
     const holder = leases.holder(subject);
     if (holder?.incarnation !== incarnation) return -Infinity;
     return (claimedAt.get(holder.number) ?? -Infinity) + termMs;
   };
 
-  /** @param reserveMs what must be left of the term, for the call that is to be made under it */
+  /** @param reserveMs remaining term required by the call that the lease protects */
   const hold = (reserveMs: number): Hold | null => {
-    endIfSuspended();
+    invalidateClaimsIfSuspended();
     const holder = leases.holder(subject);
     if (!holder || clock.now() + reserveMs >= deadline()) return null;
     return { subject, token: holder.token };
@@ -85,13 +85,13 @@
 
   const claim = async (isReleased: boolean): Promise<void> => {
     const now = clock.now();
-    claims += 1;
-    const number = claims;
+    claimCount += 1;
+    const number = claimCount;
     if (!isReleased) claimedAt.set(number, now);
-    claimedAt.delete(number - KEPT_CLAIMS);
-    const previous = leases.newest(subject);
-    // Until the claim is read back there is nothing new to claim on.
-    pendingUntil = now + READ_BACK_MS;
+    claimedAt.delete(number - MAX_TRACKED_CLAIMS);
+    const previous = leases.newestOffset(subject);
+    // A further claim must follow this one, so it waits until this one has been read from the log.
+    claimPendingUntil = now + CLAIM_READ_TIMEOUT_MS;
     await write(
       { type: 'lease', subject, host, incarnation, number, previous, isReleased },
       now + termMs / 2,
@@ -103,35 +103,35 @@
     await claim(false);
   };
 
-  const isDue = (): boolean => {
-    const place = rank();
+  const isClaimDue = (): boolean => {
+    const ownRank = rank();
     const isFree = leases.isFreeFor(subject, host, TAKEOVER_MARGIN_MS);
-    if (place === null || !isFree || !isFresh() || clock.now() < startedAt + SETTLE_MS) {
+    if (ownRank === null || !isFree || !isFresh() || clock.now() < startedAt + STARTUP_READ_MS) {
       freeSince = null;
       return false;
     }
     freeSince ??= clock.now();
-    return clock.now() >= freeSince + place * RANK_DELAY_MS;
+    return clock.now() >= freeSince + ownRank * CLAIM_DELAY_PER_RANK_MS;
   };
 
   const step = async (): Promise<void> => {
-    if (isResigned || clock.now() < pendingUntil) return;
+    if (isResigned || clock.now() < claimPendingUntil) return;
     if (clock.now() < deadline()) await renew();
-    else if (isDue()) {
+    else if (isClaimDue()) {
       await claim(false);
-      log.info('lease.claimed', { subject, previous: leases.newest(subject) });
+      log.info('lease.claimed', { subject, previous: leases.newestOffset(subject) });
     }
   };
 
   const run = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
-      endIfSuspended();
+      invalidateClaimsIfSuspended();
       await step();
-      await clock.sleepUntil(clock.now() + CHECK_EVERY_MS, signal);
+      await clock.sleepUntil(clock.now() + CHECK_INTERVAL_MS, signal);
     }
   };
 
-  /** Gives the lease back, so that nobody has to wait for the term's end. */
+  /** Releases the lease, so that other hosts need not wait for the term to end. */
   const resign = async (): Promise<void> => {
     isResigned = true;
     if (!hold(0)) return;
--- a/packages/hosts/src/newLeases.ts
+++ b/packages/hosts/src/newLeases.ts
@@ -1,13 +1,13 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { LeaseClaim } from './coordinationRecord.js';
 
-/** One stretch during which a host held a lease. */
+/** A continuous period during which one incarnation of a host held a lease. */
 interface Tenure {
   host: string;
   incarnation: string;
-  /** Offset of its first claim: the fencing token. */
+  /** Fencing token: the offset of the first claim of the tenure. */
   token: number;
-  /** Number of its newest claim. */
+  /** Sequence number of the newest claim of the tenure. */
   number: number;
   /** When this host read the newest record of the tenure, on its own monotonic clock. */
   readAt: number;
@@ -18,42 +18,42 @@
 
 interface Lease {
   /** Offset of the newest valid record. */
-  newest: number;
-  /** Oldest first; the last one is the holder's. */
+  newestOffset: number;
+  /** Oldest first; the last one belongs to the current holder. */
   tenures: Tenure[];
 }
 
-/** As many tenures as can matter within two terms. */
-const MOST_TENURES = 8;
+/** More tenures than this cannot matter within two terms. */
+const MAX_TENURES = 8;
 
 /**
- * Who holds which lease, as the claims in the log's order say.
+ * Determines the holder of each lease from the claims in log order.
  *
- * Every host reads the same claims and takes the same ones as valid: a claim names the record it
- * follows, so of two that race the first counts, and one that lands late is void. A host reads with
- * some delay, so its own view of another's term always ends later than that holder's own view.
+ * Every host reads the same claims and accepts the same ones: a claim names the record it follows,
+ * so the first of two racing claims is valid, and one that is appended late is void. A host reads
+ * with some delay, so in its view another host's term always ends later than in that holder's view.
  */
 const newLeases = (clock: Clock, termMs: number) => {
   const leases = new Map<string, Lease>();
 
-  const leaseOf = (subject: string): Lease => {
+  const getOrCreateLease = (subject: string): Lease => {
     const known = leases.get(subject);
     if (known) return known;
-    const created = { newest: -1, tenures: [] };
+    const created = { newestOffset: -1, tenures: [] };
     leases.set(subject, created);
     return created;
   };
 
   /** @returns whether the claim is valid */
   const apply = (claim: LeaseClaim, offset: number): boolean => {
-    const lease = leaseOf(claim.subject);
-    // History may be gone: the first record that is read of a lease is taken as it stands.
-    if (lease.newest !== -1 && claim.previous !== lease.newest) return false;
-    lease.newest = offset;
+    const lease = getOrCreateLease(claim.subject);
+    // Earlier records may have been trimmed, so the first record read of a lease is always valid.
+    if (lease.newestOffset !== -1 && claim.previous !== lease.newestOffset) return false;
+    lease.newestOffset = offset;
     const readAt = clock.now();
     const last = lease.tenures.at(-1);
-    const isSame = last?.incarnation === claim.incarnation && !last.isReleased;
-    if (last && isSame) {
+    const isSameTenure = last?.incarnation === claim.incarnation && !last.isReleased;
+    if (last && isSameTenure) {
       last.readAt = readAt;
       last.number = claim.number;
       last.isReleased = claim.isReleased;
@@ -61,39 +61,41 @@
     }
     const { host, incarnation, number, isReleased } = claim;
     lease.tenures.push({ host, incarnation, number, token: offset, readAt, isReleased });
-    if (lease.tenures.length > MOST_TENURES) lease.tenures.shift();
+    if (lease.tenures.length > MAX_TENURES) lease.tenures.shift();
     return true;
   };
 
   /**
    * Whether a host may claim a lease now.
    *
-   * Two holders that take turns within a term cannot be told from two that both believe they hold
-   * the lease. So a host whose earlier tenure was followed by another's stays out for two terms.
+   * Two hosts that alternate within one term cannot be distinguished from two that hold the lease
+   * at the same time. So a host whose tenure was followed by another host's may not claim for two
+   * terms.
    */
   const isFreeFor = (subject: string, host: string, marginMs: number): boolean => {
-    const { tenures } = leaseOf(subject);
+    const { tenures } = getOrCreateLease(subject);
     const last = tenures.at(-1);
     if (!last) return true;
     const now = clock.now();
-    const isOver = last.isReleased || last.host === host || now > last.readAt + termMs + marginMs;
-    const hasHeldBefore = tenures.some(
+    const isAvailable =
+      last.isReleased || last.host === host || now > last.readAt + termMs + marginMs;
+    const hasHeldRecently = tenures.some(
       (tenure, index) =>
         index < tenures.length - 1 &&
         tenure.host === host &&
         last.host !== host &&
         now < tenure.readAt + 2 * termMs,
     );
-    return isOver && !hasHeldBefore;
+    return isAvailable && !hasHeldRecently;
   };
 
   return {
     apply,
     isFreeFor,
-    /** Offset that the next claim has to follow. */
-    newest: (subject: string): number => leaseOf(subject).newest,
+    /** Offset that the next claim must name as its previous record. */
+    newestOffset: (subject: string): number => getOrCreateLease(subject).newestOffset,
     holder: (subject: string): Holder | null => {
-      const last = leaseOf(subject).tenures.at(-1);
+      const last = getOrCreateLease(subject).tenures.at(-1);
       return last && !last.isReleased ? last : null;
     },
   };
--- a/packages/hosts/src/newMembers.ts
+++ b/packages/hosts/src/newMembers.ts
@@ -7,83 +7,87 @@
   incarnation: string;
   failureDomain: string;
   address: string;
-  /** In parts of one. */
+  /** May be fractional. */
   cores: number;
   running: Record<string, number>;
 }
 
-/** What was found from the sightings, until the view, or the clock, has moved on to a moment. */
-interface Found<T> {
+/** A result computed from the known hosts; valid until the view, or the clock, reaches a time. */
+interface CachedResult<T> {
   value: T;
-  until: number;
+  validUntil: number;
 }
 
-interface Sighting {
+interface KnownHost {
   heartbeat: Heartbeat;
-  /** Until the view has moved on to this moment, the host counts as there. */
+  /** The host counts as live until the view reaches this time. */
   deadline: number;
-  /** Until then its word of what it runs is worth something, by the clock. */
+  /** The load that the host reported is used until the clock reaches this time. */
   loadDeadline: number;
 }
 
-/** Outages of the store last up to nine seconds; hosts that died meanwhile cost a call each. */
-const REMEMBERED_MS = 12_000;
+/**
+ * Covers outages of the store, which last up to nine seconds. Each listed host that died in the
+ * meantime costs one failed call.
+ */
+const RECENT_HOST_RETENTION_MS = 12_000;
 
 /**
- * Which hosts are there, by the heartbeats that they wrote.
+ * Tracks which hosts are live from the heartbeats in the store.
  *
- * A host is gone once the view has moved on by a heartbeat's life without one of it. The time alone
- * says nothing: when the store goes away the newest heartbeats are already some hundred milliseconds
- * old, and by the clock all hosts would die on a view that still counts as new, and drop the items
- * that they hold. After an outage, in which nobody could write, those that were there before it have
- * a whole life from its end on.
+ * A host expires once the view has advanced by the heartbeat lifetime without a heartbeat of that
+ * host. Elapsed time alone is not evidence: when the store becomes unavailable, the newest
+ * heartbeats are already some hundred milliseconds old. By the clock all hosts would expire while
+ * the view still counts as fresh, and would drop the items that they hold. During an outage no host
+ * can write, so hosts that were live before it get a full lifetime from its end.
  *
- * Who is live is asked some hundred times a second, and with a hundred hosts each answer anew took
- * more of the processor than all else; so an answer stands until a host comes, leaves, or is gone.
+ * The live hosts are read some hundred times a second, and with a hundred hosts computing them each
+ * time took more CPU time than everything else. So the list is cached until a host joins, leaves or
+ * expires.
  *
  * @param host this host
  */
-const newMembers = (clock: Clock, host: string, readLifeMs: () => number) => {
-  const sightings = new Map<string, Sighting>();
-  /** How far the view reaches; null while nobody tells. */
-  let viewAt: number | null = null;
+const newMembers = (clock: Clock, host: string, readLifetimeMs: () => number) => {
+  const knownHosts = new Map<string, KnownHost>();
+  /** The view holds all records written before this time; null until `noteView` is called. */
+  let viewTime: number | null = null;
 
-  let liveNow: Found<Member[]> | null = null;
-  let running: Found<Map<string, number>> | null = null;
+  let cachedLive: CachedResult<Member[]> | null = null;
+  let cachedLoad: CachedResult<Map<string, number>> | null = null;
 
-  const reachedAt = (): number => viewAt ?? clock.now();
+  const currentViewTime = (): number => viewTime ?? clock.now();
 
-  const isHeard = ({ deadline }: Sighting): boolean => reachedAt() < deadline;
+  const isUnexpired = ({ deadline }: KnownHost): boolean => currentViewTime() < deadline;
 
-  const isLive = (sighting: Sighting): boolean =>
-    !sighting.heartbeat.isLeaving && isHeard(sighting);
+  const isLive = (knownHost: KnownHost): boolean =>
+    !knownHost.heartbeat.isLeaving && isUnexpired(knownHost);
 
   const apply = (heartbeat: Heartbeat): void => {
-    const before = sightings.get(heartbeat.host);
-    const isSame =
-      before !== undefined &&
-      isLive(before) &&
+    const previous = knownHosts.get(heartbeat.host);
+    const isSameLiveRun =
+      previous !== undefined &&
+      isLive(previous) &&
       !heartbeat.isLeaving &&
-      before.heartbeat.incarnation === heartbeat.incarnation;
-    if (!isSame) liveNow = null;
-    running = null;
-    const deadline = clock.now() + readLifeMs();
-    sightings.set(heartbeat.host, { heartbeat, deadline, loadDeadline: deadline });
+      previous.heartbeat.incarnation === heartbeat.incarnation;
+    if (!isSameLiveRun) cachedLive = null;
+    cachedLoad = null;
+    const deadline = clock.now() + readLifetimeMs();
+    knownHosts.set(heartbeat.host, { heartbeat, deadline, loadDeadline: deadline });
   };
 
-  const findLive = (): Found<Member[]> => {
-    const found = [...sightings.values()].filter(isLive);
+  const computeLive = (): CachedResult<Member[]> => {
+    const found = [...knownHosts.values()].filter(isLive);
     return {
       value: found
         .map(({ heartbeat }) => heartbeat)
         .sort((left, right) => (left.host < right.host ? -1 : 1)),
-      until: Math.min(...found.map(({ deadline }) => deadline)),
+      validUntil: Math.min(...found.map(({ deadline }) => deadline)),
     };
   };
 
-  const findRunning = (): Found<Map<string, number>> => {
+  const computeLoad = (): CachedResult<Map<string, number>> => {
     const value = new Map<string, number>();
-    const others = [...sightings.values()].filter(
+    const others = [...knownHosts.values()].filter(
       ({ heartbeat, loadDeadline }) => heartbeat.host !== host && clock.now() < loadDeadline,
     );
     others.forEach(({ heartbeat }) =>
@@ -91,53 +95,54 @@
         value.set(upstream, (value.get(upstream) ?? 0) + count),
       ),
     );
-    return { value, until: Math.min(...others.map(({ loadDeadline }) => loadDeadline)) };
+    return { value, validUntil: Math.min(...others.map(({ loadDeadline }) => loadDeadline)) };
   };
 
-  /** @param at the view holds all that was written before this moment of the monotonic clock */
-  const noteView = (at: number): void => {
-    if (viewAt !== null && hadOutage(viewAt, at)) {
-      [...sightings.values()].filter(isHeard).forEach((sighting) => {
-        sighting.deadline = Math.max(sighting.deadline, at + readLifeMs());
+  /** @param at monotonic time before which all written records are in the view */
+  const advanceView = (at: number): void => {
+    if (viewTime !== null && hadOutage(viewTime, at)) {
+      [...knownHosts.values()].filter(isUnexpired).forEach((knownHost) => {
+        knownHost.deadline = Math.max(knownHost.deadline, at + readLifetimeMs());
       });
     }
-    if (viewAt === null) liveNow = null;
-    viewAt = Math.max(viewAt ?? at, at);
+    if (viewTime === null) cachedLive = null;
+    viewTime = Math.max(viewTime ?? at, at);
   };
 
   return {
     apply,
-    noteView,
-    /** Hosts that take work, in the order of their names; the same list while they are the same. */
+    noteView: advanceView,
+    /** Live hosts that accept work, sorted by name; the same array while they are unchanged. */
     live: (): Member[] => {
-      if (!liveNow || reachedAt() >= liveNow.until) liveNow = findLive();
-      return liveNow.value;
+      if (!cachedLive || currentViewTime() >= cachedLive.validUntil) cachedLive = computeLive();
+      return cachedLive.value;
     },
-    /** The newest word of each host of late, also from before an outage of the store. */
+    /** Hosts with a recent heartbeat, including those read before an outage of the store. */
     lately: (): Member[] =>
-      [...sightings.values()]
-        .filter(({ deadline }) => clock.now() < deadline + REMEMBERED_MS)
+      [...knownHosts.values()]
+        .filter(({ deadline }) => clock.now() < deadline + RECENT_HOST_RETENTION_MS)
         .map(({ heartbeat }) => heartbeat)
         .filter(({ isLeaving }) => !isLeaving),
-    /** Whether that run of a host's process said that it leaves, or was followed by another. */
+    /** Whether an incarnation of a host announced that it is leaving, or was replaced. */
     hasLeft: (name: string, incarnation: string): boolean => {
-      const heartbeat = sightings.get(name)?.heartbeat;
+      const heartbeat = knownHosts.get(name)?.heartbeat;
       return (
         heartbeat !== undefined && (heartbeat.isLeaving || heartbeat.incarnation !== incarnation)
       );
     },
     /**
-     * Requests that hosts other than this one run at each upstream, by their newest heartbeats. They
-     * go out of date by the clock: on a view that stands still through an outage, upstreams that were
-     * full at its beginning would look full until its end, and nothing would start.
+     * Number of requests that other hosts are running at each upstream, from their newest
+     * heartbeats. These counts expire by the clock. During an outage the view does not advance, so
+     * upstreams that were full when it began would otherwise look full until its end, and no
+     * request would start.
      */
     runningElsewhere: (): ReadonlyMap<string, number> => {
-      if (!running || clock.now() >= running.until) running = findRunning();
-      return running.value;
+      if (!cachedLoad || clock.now() >= cachedLoad.validUntil) cachedLoad = computeLoad();
+      return cachedLoad.value;
     },
-    /** Hosts that were heard of lately, also those that leave. */
-    heard: (): Heartbeat[] =>
-      [...sightings.values()].filter(isHeard).map(({ heartbeat }) => heartbeat),
+    /** Newest heartbeats of all hosts that have not expired, including hosts that are leaving. */
+    unexpiredHeartbeats: (): Heartbeat[] =>
+      [...knownHosts.values()].filter(isUnexpired).map(({ heartbeat }) => heartbeat),
   };
 };
 
--- a/packages/hosts/src/newOwnership.ts
+++ b/packages/hosts/src/newOwnership.ts
@@ -1,34 +1,35 @@
 import type Clock from '@cyclamengate/common/Clock';
 
-/** Outages of the store last some seconds; beyond this another host may long have gone on. */
-const KEEP_MS = 7_000;
-/** After an outage hosts' heartbeats come back within their interval of half a second. */
-const SETTLE_MS = 900;
+/** Outages of the store last some seconds; after a longer time other hosts may have taken over. */
+const MAX_STALE_OWNERSHIP_MS = 7_000;
+/** Hosts write heartbeats again within their interval of half a second after an outage. */
+const HEARTBEAT_RECOVERY_MS = 900;
 
 export interface OwnershipOptions {
   clock: Clock;
   host: string;
-  /** Live hosts in the order in which they come for a subject. */
+  /** Live hosts ranked for a subject; the first one owns it. */
   rank: (subject: string) => string[];
-  /** Whether the view of who is live is new enough to go by. */
+  /** Whether the view of the live hosts is recent enough to decide ownership. */
   isFresh: () => boolean;
 }
 
 /**
- * Which subjects this host works on: those for which it comes first among the live hosts.
+ * Decides which subjects this host owns: those for which it ranks first among the live hosts.
  *
- * While the store is away no heartbeat arrives anywhere, and every host looks dead to every other.
- * Were all work dropped then, items that are half done would stand still for the whole outage. So
- * what a host owns it keeps for some seconds without news, and until the heartbeats are back after
- * it. A host that alone is cut off works on in vain meanwhile; the first result of an item counts.
+ * While the store is unavailable no heartbeats arrive, and every host looks dead to all others.
+ * Dropping all work would suspend unfinished items for the whole outage. So a host keeps what it
+ * owns for some seconds on a stale view, and until heartbeats have resumed after the outage. If
+ * only this host is partitioned, its work is duplicated meanwhile; only the first result of an item
+ * counts.
  */
 const newOwnership = ({ clock, host, rank, isFresh }: OwnershipOptions) => {
   const owned = new Set<string>();
   let staleSince: number | null = null;
   let freshSince = -Infinity;
 
-  /** Whether the view says nothing now about who is live. */
-  const isUnsettled = (): boolean => {
+  /** Whether the view is stale, or hosts may not have written heartbeats since it became fresh. */
+  const isViewUnreliable = (): boolean => {
     const now = clock.now();
     if (!isFresh()) {
       staleSince ??= now;
@@ -36,13 +37,14 @@
     }
     if (staleSince !== null) freshSince = now;
     staleSince = null;
-    return now < freshSince + SETTLE_MS;
+    return now < freshSince + HEARTBEAT_RECOVERY_MS;
   };
 
   return (subject: string): boolean => {
-    if (isUnsettled()) {
-      const isKept = staleSince === null || clock.now() < staleSince + KEEP_MS;
-      return isKept && owned.has(subject);
+    if (isViewUnreliable()) {
+      const isWithinStaleLimit =
+        staleSince === null || clock.now() < staleSince + MAX_STALE_OWNERSHIP_MS;
+      return isWithinStaleLimit && owned.has(subject);
     }
     if (rank(subject)[0] === host) owned.add(subject);
     else owned.delete(subject);
--- a/packages/hosts/src/newUsageCounts.ts
+++ b/packages/hosts/src/newUsageCounts.ts
@@ -1,7 +1,7 @@
 import type { Heartbeat, UsageCounts } from './coordinationRecord.js';
 
-/** Windows older than this many are forgotten: they were reported, or are too late to be. */
-const KEPT_WINDOWS = 24;
+/** Older windows are evicted: they have been reported, or it is too late to report them. */
+const RETAINED_WINDOWS = 24;
 
 const addCounts = (sum: UsageCounts, counts: UsageCounts): UsageCounts =>
   Object.entries(counts).reduce(
@@ -9,44 +9,44 @@
     sum,
   );
 
-const forgetOld = <T>(windows: Map<number, T>): void => {
+const evictOldWindows = <T>(windows: Map<number, T>): void => {
   const newest = Math.max(...windows.keys());
   [...windows.keys()]
-    .filter((window) => window < newest - KEPT_WINDOWS)
+    .filter((window) => window < newest - RETAINED_WINDOWS)
     .forEach((window) => windows.delete(window));
 };
 
-/** What all hosts counted, by window, and which windows are closed and reported. */
+/** Collects the usage counts of all hosts by window, and which windows are closed and reported. */
 const newUsageCounts = () => {
-  /** Counts by window, then by the run of the host that counted them. */
-  const counted = new Map<number, Map<string, UsageCounts>>();
+  /** Counts by window, then by the incarnation of the host that counted them. */
+  const countsByWindow = new Map<number, Map<string, UsageCounts>>();
   const closed = new Map<number, UsageCounts>();
   const reported = new Set<number>();
 
   const applyHeartbeat = ({ incarnation, usage }: Heartbeat): void =>
     Object.entries(usage).forEach(([name, counts]) => {
       const window = Number(name);
-      const byHost = counted.get(window) ?? new Map<string, UsageCounts>();
-      byHost.set(incarnation, counts);
-      counted.set(window, byHost);
-      forgetOld(counted);
+      const byIncarnation = countsByWindow.get(window) ?? new Map<string, UsageCounts>();
+      byIncarnation.set(incarnation, counts);
+      countsByWindow.set(window, byIncarnation);
+      evictOldWindows(countsByWindow);
     });
 
   return {
     applyHeartbeat,
-    /** The first close of a window counts; a second one, by another holder, changes nothing. */
+    /** Only the first close of a window counts; a second one by another lease holder is ignored. */
     applyClose: (window: number, counts: UsageCounts): void => {
       if (!closed.has(window)) closed.set(window, counts);
-      forgetOld(closed);
+      evictOldWindows(closed);
     },
     applyReported: (window: number): void => {
       reported.add(window);
     },
     sum: (window: number): UsageCounts =>
-      [...(counted.get(window)?.values() ?? [])].reduce(addCounts, {}),
+      [...(countsByWindow.get(window)?.values() ?? [])].reduce(addCounts, {}),
     isClosed: (window: number): boolean => closed.has(window),
-    /** Oldest closed window that the platform has not taken yet. */
-    unreported: (): { window: number; counts: UsageCounts } | null => {
+    /** Oldest closed window that has not been reported yet. */
+    oldestUnreported: (): { window: number; counts: UsageCounts } | null => {
       const [window] = [...closed.keys()]
         .filter((candidate) => !reported.has(candidate))
         .sort((left, right) => left - right);
--- a/packages/hosts/src/newUsageMeter.ts
+++ b/packages/hosts/src/newUsageMeter.ts
@@ -1,10 +1,10 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { UsageCounts } from './coordinationRecord.js';
 
-/** Windows that a heartbeat repeats, so that a host cut off for a while still gets its counts in. */
+/** Past windows in each heartbeat, so that counts survive a temporary network partition. */
 const REPEATED_WINDOWS = 4;
 
-/** Counts the requests that began on this host, by window of the wall clock. */
+/** Counts the requests that started on this host, by window of the wall clock. */
 const newUsageMeter = (clock: Clock, windowMs: number) => {
   const windows = new Map<number, UsageCounts>();
 
@@ -12,14 +12,14 @@
 
   return {
     windowNow: (): number => windowAt(clock.wallTime()),
-    /** @param beganAt wall time at which the request was handed to its upstream */
+    /** @param beganAt wall time at which the request was sent to its upstream */
     count: (customer: string, beganAt: number): void => {
       const window = windowAt(beganAt);
       const counts = windows.get(window) ?? {};
       counts[customer] = (counts[customer] ?? 0) + 1;
       windows.set(window, counts);
     },
-    /** Counts of the newest windows; old ones are forgotten. */
+    /** Counts of the newest windows; older ones are evicted. */
     recent: (): Record<string, UsageCounts> => {
       const oldest = windowAt(clock.wallTime()) - REPEATED_WINDOWS;
       [...windows.keys()]
--- a/packages/hosts/src/rankHosts.ts
+++ b/packages/hosts/src/rankHosts.ts
@@ -1,24 +1,25 @@
 import rendezvousRank from '@cyclamengate/common/rendezvousRank';
 
-/** A host, and how many cores it has, in parts of one. */
+/** A host and its number of cores, which may be fractional. */
 export interface RankedHost {
   host: string;
   cores: number;
 }
 
-/** Part of the strongest host's cores from which on a host counts as strong. */
-const STRONG_PART = 0.5;
+/** A host is strong if it has at least this fraction of the strongest host's cores. */
+const MIN_STRONG_CORES_RATIO = 0.5;
 
 /**
- * Orders hosts for a subject: the same on every host that knows the same ones, without asking anyone.
+ * Ranks hosts for a subject. Hosts that know the same hosts get the same order without
+ * communication.
  *
- * The host that comes first runs all of a step. Hosts differ fourfold in cores, and a step of a
- * hundred streams on a third of a core is late though engines are free. So strong hosts come first,
- * whichever of them, and weak ones only behind them.
+ * The first host runs all of a step. Hosts differ fourfold in cores, and a step of a hundred
+ * streams on a third of a core is late although engines are free. So all strong hosts rank before
+ * the weak ones.
  */
 const rankHosts = (subject: string, hosts: RankedHost[]): string[] => {
   const strongest = Math.max(0, ...hosts.map(({ cores }) => cores));
-  const isStrong = ({ cores }: RankedHost): boolean => cores >= strongest * STRONG_PART;
+  const isStrong = ({ cores }: RankedHost): boolean => cores >= strongest * MIN_STRONG_CORES_RATIO;
   const rank = (list: RankedHost[]): string[] =>
     rendezvousRank(
       subject,
--- a/packages/hosts/src/reportWindows.ts
+++ b/packages/hosts/src/reportWindows.ts
@@ -7,11 +7,11 @@
 import type { UsageCountsFold } from './newUsageCounts.js';
 import type UsageReports from './UsageReports.js';
 
-const CHECK_EVERY_MS = 400;
-/** Hosts that do not answer are waited for so long after a window's end: half of what is allowed. */
-const LONGEST_GRACE_MS = 5_500;
-/** Windows before this one are not looked for; a fresh holder reports what may still be in time. */
-const OLDEST_WINDOWS = 2;
+const CHECK_INTERVAL_MS = 400;
+/** How long after its end a window waits for missing hosts; half of the time allowed to report. */
+const MAX_GRACE_MS = 5_500;
+/** How many windows before the newest a new holder still closes; older ones would be too late. */
+const MAX_WINDOWS_BEHIND = 2;
 const SEND_TIMEOUT_MS = 800;
 const WRITE_TIMEOUT_MS = 2_000;
 
@@ -28,32 +28,32 @@
 }
 
 /**
- * Closes and reports windows of usage while this host holds the lease.
+ * Closes and reports usage windows while this host holds the lease.
  *
- * A report's answer can be lost, and the holder can change in between: the figures sent the second
- * time must be those of the first. So they are fixed in the log before they are sent, and whoever
- * reports the window sends what stands there.
+ * The response to a report can be lost and the lease holder can change before the report is
+ * repeated, and the repeated report must have the same figures. So the figures are fixed in the log
+ * before they are sent, and every holder reports the figures in the log.
  */
 const reportWindows = async (options: ReportWindowsOptions, signal: AbortSignal): Promise<void> => {
   const { clock, log, host, windowMs, lease, members, usage, reports, write } = options;
 
-  const endOf = (window: number): number => (window + 1) * windowMs;
+  const windowEnd = (window: number): number => (window + 1) * windowMs;
 
-  /** All hosts that are there have said that their counts of the window are final. */
+  /** Whether the counts of the window are final on all hosts that have not expired. */
   const isComplete = (window: number): boolean =>
-    members.heard().every(({ countedThrough }) => countedThrough >= window);
+    members.unexpiredHeartbeats().every(({ countedThrough }) => countedThrough >= window);
 
-  const findDue = (): number | undefined => {
+  const findDueWindow = (): number | undefined => {
     const newest = Math.floor(clock.wallTime() / windowMs) - 1;
-    const candidates = Array.from({ length: OLDEST_WINDOWS + 1 }, (_, index) => newest - index);
+    const candidates = Array.from({ length: MAX_WINDOWS_BEHIND + 1 }, (_, index) => newest - index);
     return candidates
       .reverse()
       .filter((window) => !usage.isClosed(window))
-      .find((window) => isComplete(window) || clock.wallTime() > endOf(window) + LONGEST_GRACE_MS);
+      .find((window) => isComplete(window) || clock.wallTime() > windowEnd(window) + MAX_GRACE_MS);
   };
 
-  const closeDue = async (): Promise<void> => {
-    const window = findDue();
+  const closeDueWindow = async (): Promise<void> => {
+    const window = findDueWindow();
     if (window === undefined || !lease.hold(0)) return;
     const counts = usage.sum(window);
     const record = { type: 'usage-close' as const, window, counts };
@@ -61,21 +61,24 @@
     log.info('usage.closed', { window, counts, outcome, isComplete: isComplete(window) });
   };
 
-  const reportNext = async (): Promise<void> => {
-    const due = usage.unreported();
+  const reportNextWindow = async (): Promise<void> => {
+    const unreported = usage.oldestUnreported();
     const hold = lease.hold(SEND_TIMEOUT_MS);
-    if (!due || !hold) return;
-    const report = { ...due, holder: host, fencingToken: hold.token };
+    if (!unreported || !hold) return;
+    const report = { ...unreported, holder: host, fencingToken: hold.token };
     const outcome = await reports.send(report, AbortSignal.timeout(SEND_TIMEOUT_MS));
-    log.info('usage.reported', { window: due.window, outcome, fencingToken: hold.token });
+    log.info('usage.reported', { window: unreported.window, outcome, fencingToken: hold.token });
     if (outcome === 'unknown') return;
-    await write({ type: 'usage-reported', window: due.window }, clock.now() + WRITE_TIMEOUT_MS);
+    await write(
+      { type: 'usage-reported', window: unreported.window },
+      clock.now() + WRITE_TIMEOUT_MS,
+    );
   };
 
   while (!signal.aborted) {
-    await closeDue();
-    await reportNext();
-    await clock.sleepUntil(clock.now() + CHECK_EVERY_MS, signal);
+    await closeDueWindow();
+    await reportNextWindow();
+    await clock.sleepUntil(clock.now() + CHECK_INTERVAL_MS, signal);
   }
 };
 
--- a/packages/hosts/tests/leases.test.ts
+++ b/packages/hosts/tests/leases.test.ts
@@ -10,8 +10,8 @@
 const SUBJECT = 'engines/detroit';
 const log = { info: () => {}, warn: () => {}, error: () => {} };
 
-/** A log that all hosts read; each can be cut off, and its writes can be held back. */
-const newClaims = () => {
+/** The log that all hosts read; a host can be disconnected from it or have its writes delayed. */
+const newClaimLog = () => {
   const records: LeaseClaim[] = [];
   return { records };
 };
@@ -25,21 +25,23 @@
 const newHost = ({ name, clock, claims }: HostParts) => {
   const leases = newLeases(clock, TERM_MS);
   const stop = new AbortController();
-  const held: LeaseClaim[] = [];
-  let readTo = 0;
-  let isCut = false;
-  let isHolding = false;
+  const delayed: LeaseClaim[] = [];
+  let nextOffset = 0;
+  let isDisconnected = false;
+  let isDelayingWrites = false;
   const readAll = (): void => {
-    if (isCut) return;
-    claims.records.slice(readTo).forEach((claim, index) => leases.apply(claim, readTo + index));
-    readTo = claims.records.length;
+    if (isDisconnected) return;
+    claims.records
+      .slice(nextOffset)
+      .forEach((claim, index) => leases.apply(claim, nextOffset + index));
+    nextOffset = claims.records.length;
   };
   const write = async (claim: LeaseClaim): Promise<WriteOutcome> => {
-    if (isHolding) {
-      held.push(claim);
+    if (isDelayingWrites) {
+      delayed.push(claim);
       return 'unknown';
     }
-    if (isCut) return 'not-written';
+    if (isDisconnected) return 'not-written';
     claims.records.push(claim);
     return 'written';
   };
@@ -59,19 +61,19 @@
     termMs: TERM_MS,
     write,
     rank: () => 0,
-    isFresh: () => !isCut,
+    isFresh: () => !isDisconnected,
   });
   const running = Promise.all([follow(), keeper.run(stop.signal)]);
   return {
     keeper,
-    setCut: (value: boolean): void => {
-      isCut = value;
+    setDisconnected: (value: boolean): void => {
+      isDisconnected = value;
     },
-    holdWrites: (value: boolean): void => {
-      isHolding = value;
+    setWritesDelayed: (value: boolean): void => {
+      isDelayingWrites = value;
     },
-    landHeld: (): void => {
-      claims.records.push(...held.splice(0));
+    appendDelayed: (): void => {
+      claims.records.push(...delayed.splice(0));
     },
     stop: async (): Promise<void> => {
       stop.abort();
@@ -80,9 +82,9 @@
   };
 };
 
-const newPair = () => {
+const newHostPair = () => {
   const clock = newManualClock();
-  const claims = newClaims();
+  const claims = newClaimLog();
   const first = newHost({ name: 'a', clock, claims });
   const second = newHost({ name: 'b', clock, claims });
   const holders = (): string[] =>
@@ -91,8 +93,8 @@
 };
 
 test('of two hosts that claim at once one holds the lease, and keeps it', async (t) => {
-  // Both find the lease free in the same moment; the log's order decides.
-  const { clock, holders, first, second } = newPair();
+  // Both hosts find the lease free at the same time and claim it; the first claim in the log wins.
+  const { clock, holders, first, second } = newHostPair();
   await clock.advance(2_000);
   const [holder] = holders();
   t.is(holders().length, 1);
@@ -102,48 +104,48 @@
 });
 
 test('a holder that can not renew stops before another one starts', async (t) => {
-  // The holder is cut off from the store. Its own term must be over before the other host's view of
-  // it is, or engines would get orders from two hosts that each believe they are in charge.
-  const { clock, holders, first, second } = newPair();
+  // The holder is partitioned from the store. Its term must end in its own view before it ends in
+  // the other host's view. Otherwise engines would receive orders from two holders.
+  const { clock, holders, first, second } = newHostPair();
   await clock.advance(2_000);
-  const [cut, other] = holders()[0] === '0' ? [first, second] : [second, first];
-  cut.setCut(true);
-  let most = 0;
+  const [disconnected, other] = holders()[0] === '0' ? [first, second] : [second, first];
+  disconnected.setDisconnected(true);
+  let maxHolders = 0;
   let isTaken = false;
   for (let passed = 0; passed < 6_000 && !isTaken; passed += 20) {
     await clock.advance(20);
-    most = Math.max(most, holders().length);
+    maxHolders = Math.max(maxHolders, holders().length);
     isTaken = other.keeper.hold(0) !== null;
   }
   t.true(isTaken);
-  t.is(most, 1);
-  t.is(cut.keeper.hold(0), null);
+  t.is(maxHolders, 1);
+  t.is(disconnected.keeper.hold(0), null);
   await Promise.all([first.stop(), second.stop()]);
 });
 
-test('a claim that lands after another host took over gives nothing', async (t) => {
-  // The holder's renewal hangs on its way to the store while its term runs out; another host takes
-  // the lease; then the renewal lands. The first host must not believe in it.
-  const { clock, holders, first, second } = newPair();
+test('a claim that is appended after another host took over is void', async (t) => {
+  // The holder's renewal is delayed until its term has ended and another host has taken the lease.
+  // When it is appended after all, the first host must not hold the lease again.
+  const { clock, holders, first, second } = newHostPair();
   await clock.advance(2_000);
   const [slow, other] = holders()[0] === '0' ? [first, second] : [second, first];
-  slow.holdWrites(true);
+  slow.setWritesDelayed(true);
   for (let passed = 0; passed < 6_000 && !other.keeper.hold(0); passed += 50) {
     await clock.advance(50);
   }
   t.not(other.keeper.hold(0), null);
-  slow.holdWrites(false);
-  slow.landHeld();
+  slow.setWritesDelayed(false);
+  slow.appendDelayed();
   await clock.advance(500);
   t.is(slow.keeper.hold(0), null);
   t.not(other.keeper.hold(0), null);
   await Promise.all([first.stop(), second.stop()]);
 });
 
-test('a machine that was suspended does not believe in its lease when it wakes', async (t) => {
-  // The monotonic clock stands still while a machine is suspended, so the term seems to run on. The
-  // wall clock has gone ahead, which shows what happened.
-  const { clock, holders, first, second } = newPair();
+test('a host that resumes from suspension no longer holds its lease', async (t) => {
+  // The monotonic clock stops while a machine is suspended, so the term appears to be still
+  // running. Only the wall clock, which has advanced, shows the suspension.
+  const { clock, holders, first, second } = newHostPair();
   await clock.advance(2_000);
   const keeper = holders()[0] === '0' ? first.keeper : second.keeper;
   clock.stepWall(4_000);
@@ -152,26 +154,26 @@
 });
 
 test('a wall clock that is set back extends no lease', async (t) => {
-  // The time of day is corrected while a host is cut off; its term must still end.
-  const { clock, holders, first, second } = newPair();
+  // The wall clock is set back while a host is partitioned from the store; its term must still end.
+  const { clock, holders, first, second } = newHostPair();
   await clock.advance(2_000);
-  const cut = holders()[0] === '0' ? first : second;
-  cut.setCut(true);
+  const disconnected = holders()[0] === '0' ? first : second;
+  disconnected.setDisconnected(true);
   clock.stepWall(-60_000);
   await clock.advance(TERM_MS);
-  t.is(cut.keeper.hold(0), null);
+  t.is(disconnected.keeper.hold(0), null);
   await Promise.all([first.stop(), second.stop()]);
 });
 
 test('a host does not take a lease back right after another one has had it', async (t) => {
-  // The lease is handed to and fro by graceful shutdowns. Holders that take turns within one term
-  // can not be told from two that act at the same time.
-  const { clock, holders, first, second } = newPair();
+  // Graceful shutdowns hand a lease back and forth. Hosts that alternate within one term cannot be
+  // distinguished from two that hold the lease at the same time.
+  const { clock, holders, first, second } = newHostPair();
   await clock.advance(2_000);
   const [leaving, other] = holders()[0] === '0' ? [first, second] : [second, first];
-  const handing = leaving.keeper.resign();
+  const release = leaving.keeper.resign();
   await clock.advance(1_500);
-  await handing;
+  await release;
   t.not(other.keeper.hold(0), null);
   const leases = newLeases(clock, TERM_MS);
   const claim = (host: string, previous: number, number: number, isReleased = false) => ({
--- a/packages/hosts/tests/newHeartbeatOrder.test.ts
+++ b/packages/hosts/tests/newHeartbeatOrder.test.ts
@@ -2,17 +2,18 @@
 import newHeartbeatOrder from '../src/newHeartbeatOrder.js';
 
 test('a heartbeat that another host wrote late does not undo a newer one', (t) => {
-  // Guards against a host that is back and counts as leaving: its batches are begun by others too.
+  // A host recovers, and an older heartbeat that a peer wrote for it marks it as leaving. Other
+  // hosts would then begin its batches as well.
   const { isNews } = newHeartbeatOrder();
   t.true(isNews({ host: 'a', incarnation: 'run-1', number: 1 }));
   t.true(isNews({ host: 'a', incarnation: 'run-1', number: 3 }));
   t.false(isNews({ host: 'a', incarnation: 'run-1', number: 2 }));
-  t.false(isNews({ host: 'a', incarnation: 'run-1', number: 3 }), 'two wrote it');
+  t.false(isNews({ host: 'a', incarnation: 'run-1', number: 3 }), 'written by two hosts');
   t.true(isNews({ host: 'b', incarnation: 'run-2', number: 1 }));
 });
 
-test('a heartbeat of an earlier run of a process does not bring that run back', (t) => {
-  // Guards against a host that has been restarted and counts as gone.
+test('a heartbeat of an earlier incarnation does not replace the current one', (t) => {
+  // A host restarts, and a late heartbeat of its previous process would make it look replaced.
   const { isNews } = newHeartbeatOrder();
   t.true(isNews({ host: 'a', incarnation: 'run-1', number: 9 }));
   t.true(isNews({ host: 'a', incarnation: 'run-2', number: 1 }));
--- a/packages/hosts/tests/newMembers.test.ts
+++ b/packages/hosts/tests/newMembers.test.ts
@@ -3,9 +3,9 @@
 import type { Heartbeat } from '../src/coordinationRecord.js';
 import newMembers from '../src/newMembers.js';
 
-const LIFE_MS = 1_600;
+const HEARTBEAT_LIFETIME_MS = 1_600;
 
-const heartbeatOf = (host: string, changes: Partial<Heartbeat> = {}): Heartbeat => ({
+const newHeartbeat = (host: string, changes: Partial<Heartbeat> = {}): Heartbeat => ({
   type: 'heartbeat',
   host,
   incarnation: `${host}-run`,
@@ -22,9 +22,9 @@
 
 const newParts = () => {
   const clock = newManualClock();
-  const members = newMembers(clock, 'a', () => LIFE_MS);
+  const members = newMembers(clock, 'a', () => HEARTBEAT_LIFETIME_MS);
   const beat = (...hosts: string[]): void => {
-    hosts.forEach((host) => members.apply(heartbeatOf(host)));
+    hosts.forEach((host) => members.apply(newHeartbeat(host)));
     members.noteView(clock.now());
   };
   const live = (): string =>
@@ -35,8 +35,8 @@
   return { clock, members, beat, live };
 };
 
-test('a host whose heartbeats stop while others go on is gone after a life', async (t) => {
-  // A host loses power. Its items wait until another one takes them over.
+test('a host whose heartbeats stop while others continue is not live after the heartbeat lifetime', async (t) => {
+  // A host loses power. Its items are delayed until another host takes them over.
   const { clock, beat, live } = newParts();
   beat('a', 'b');
   for (let count = 0; count < 4; count += 1) {
@@ -46,9 +46,10 @@
   t.is(live(), 'a');
 });
 
-test('nobody is gone on a view that stands still', async (t) => {
-  // The store goes silent 0.4 s after the newest heartbeats. For some hundred milliseconds the view
-  // still counts as new, and hosts that were dead by the clock dropped items that were half done.
+test('no host expires while the view does not advance', async (t) => {
+  // The store becomes unresponsive 0.4 s after the newest heartbeats, and the view still counts as
+  // fresh for some hundred milliseconds. If hosts expired by the clock, unfinished items were
+  // dropped.
   const { clock, members, beat, live } = newParts();
   beat('a', 'b');
   await clock.advance(400);
@@ -57,9 +58,9 @@
   t.is(live(), 'a b');
 });
 
-test('after an outage hosts have a whole life to be heard again', async (t) => {
-  // No host could write for six seconds. The first page after it holds nobody's heartbeat yet; taken
-  // for news of their death, it would move every batch for an instant.
+test('after a store outage every host has a full heartbeat lifetime to write again', async (t) => {
+  // No host could write for six seconds, and the first page read afterwards has no heartbeats yet.
+  // If that expired the hosts, every batch would briefly move to another host.
   const { clock, members, beat, live } = newParts();
   beat('a', 'b');
   await clock.advance(6_000);
@@ -73,26 +74,26 @@
   t.is(live(), 'a');
 });
 
-test('a host that said that it leaves is not live on any view', async (t) => {
+test('a host that announced that it is leaving is not live', async (t) => {
   const { members, beat, live } = newParts();
   beat('a', 'b');
-  members.apply(heartbeatOf('b', { isLeaving: true }));
+  members.apply(newHeartbeat('b', { isLeaving: true }));
   t.is(live(), 'a');
 });
 
-test('what other hosts run goes out of date while the view stands still', async (t) => {
-  // All engines are full as the topic of heartbeats goes silent, and the batches go on. Taken for
-  // full until the heartbeats are back, the engines stood empty for three seconds.
+test('the load of other hosts expires while the view does not advance', async (t) => {
+  // All engines are full when the heartbeat topic becomes unresponsive, while batches continue. If
+  // the old load counted until heartbeats resumed, the engines stayed idle for three seconds.
   const { clock, members } = newParts();
-  members.apply(heartbeatOf('a', { running: { engine: 5 } }));
-  members.apply(heartbeatOf('b', { running: { engine: 7 } }));
+  members.apply(newHeartbeat('a', { running: { engine: 5 } }));
+  members.apply(newHeartbeat('b', { running: { engine: 7 } }));
   members.noteView(clock.now());
   t.deepEqual([...members.runningElsewhere()], [['engine', 7]]);
   await clock.advance(1_700);
   t.deepEqual([...members.runningElsewhere()], []);
 });
 
-test('the list of live hosts is the same one while nobody comes or goes', async (t) => {
+test('the same list of live hosts is returned while no host joins or leaves', async (t) => {
   const { clock, members, beat, live } = newParts();
   beat('a', 'b');
   const before = members.live();
@@ -101,15 +102,15 @@
   t.is(members.live(), before);
   beat('c');
   t.is(live(), 'a b c');
-  members.apply(heartbeatOf('b', { incarnation: 'b-second-run' }));
+  members.apply(newHeartbeat('b', { incarnation: 'b-second-run' }));
   t.deepEqual(
     members.live().map(({ incarnation }) => incarnation),
     ['a-run', 'b-second-run', 'c-run'],
-    'a host that was restarted is another run',
+    'a restarted host has a new incarnation',
   );
   for (let count = 0; count < 4; count += 1) {
     await clock.advance(500);
     beat('b', 'c');
   }
-  t.is(live(), 'b c', 'a host without heartbeats is gone');
+  t.is(live(), 'b c', 'a host without heartbeats is not live');
 });
--- a/packages/hosts/tests/newOwnership.test.ts
+++ b/packages/hosts/tests/newOwnership.test.ts
@@ -14,9 +14,9 @@
   return { clock, view, owns };
 };
 
-test('a host goes on with what it owns while the store is away for all', async (t) => {
-  // The store is down for five seconds, so no host hears of any other. Items that are half done
-  // would stand still meanwhile, and their step would be late.
+test('a host keeps what it owns while the store is unavailable to all hosts', async (t) => {
+  // The store is down for five seconds, so hosts get no heartbeats of each other. If they dropped
+  // their unfinished items, no host would run them and their step would be late.
   const { clock, view, owns } = newParts();
   t.true(owns('x'));
   view.isFresh = false;
@@ -25,23 +25,23 @@
   await clock.advance(5_000);
   t.true(owns('x'));
   view.isFresh = true;
-  t.true(owns('x'), 'before the heartbeats are back');
+  t.true(owns('x'), 'before heartbeats resume');
   view.live = ['b'];
-  t.true(owns('x'), 'while only another heartbeat is back');
+  t.true(owns('x'), 'after the heartbeat of the other host only');
   await clock.advance(400);
   view.live = ['a', 'b'];
   await clock.advance(600);
   t.true(owns('x'));
 });
 
-test('a host takes nothing new while it has no news', (t) => {
+test('a host takes no new subjects while its view is stale', (t) => {
   const { view, owns } = newParts();
   view.isFresh = false;
   t.false(owns('x'));
 });
 
-test('a host that is cut off for long stops', async (t) => {
-  // The others have long gone on with its items; its own work is in vain.
+test('a host that stays partitioned from the store gives up what it owns', async (t) => {
+  // Other hosts have taken over its items, so running them here as well is wasted work.
   const { clock, view, owns } = newParts();
   t.true(owns('x'));
   view.isFresh = false;
@@ -50,7 +50,7 @@
   t.false(owns('x'));
 });
 
-test('after an outage the host that comes first by then goes on', async (t) => {
+test('after an outage the host that then ranks first takes over', async (t) => {
   const { clock, view, owns } = newParts();
   t.true(owns('x'));
   view.isFresh = false;
--- a/packages/hosts/tests/rankHosts.test.ts
+++ b/packages/hosts/tests/rankHosts.test.ts
@@ -6,27 +6,27 @@
 const subjects = Array.from({ length: 40 }, (_, index) => `batches/model-${index}`);
 
 test('a step is never run by a weak host while there is a strong one', (t) => {
-  // Two thirds of the hosts have a third of a core. A step of a hundred streams saturates one, and
-  // is late though its engines are half idle.
+  // Two thirds of the hosts have a third of a core. A step of a hundred streams saturates such a
+  // host and is late although its engines are half idle.
   subjects.forEach((subject) => {
     const [first] = rankHosts(subject, [...weak, ...strong]);
     t.true(['a', 'b', 'c'].includes(first ?? ''));
   });
 });
 
-test('models are spread over the strong hosts, and weak ones follow behind them', (t) => {
+test('models are spread over the strong hosts, and weak hosts rank after them', (t) => {
   const firsts = new Set(subjects.map((subject) => rankHosts(subject, [...strong, ...weak])[0]));
   t.is(firsts.size, 3);
   t.is(rankHosts('x', [...strong, ...weak]).length, 9);
   t.is(rankHosts('x', weak).length, 6);
 });
 
-test('every host gets the same order whatever order it knows the hosts in', (t) => {
+test('the ranking does not depend on the order in which the hosts are given', (t) => {
   const hosts = [...strong, ...weak];
   t.deepEqual(rankHosts('x', hosts), rankHosts('x', [...hosts].reverse()));
 });
 
-test('a host that is lost moves only what it had', (t) => {
+test('losing a host moves only the subjects for which it ranked first', (t) => {
   const moved = subjects.filter((subject) => {
     const before = rankHosts(subject, strong)[0];
     return before !== 'a' && rankHosts(subject, strong.slice(1))[0] !== before;
--- a/packages/hosts/tests/reportWindows.test.ts
+++ b/packages/hosts/tests/reportWindows.test.ts
@@ -15,13 +15,13 @@
   const members = newMembers(clock, 'a', () => 2_000);
   const usage = newUsageCounts();
   const sent: UsageReport[] = [];
-  const lostAnswers = new Set<number>();
+  const windowsWithLostAnswer = new Set<number>();
   const stop = new AbortController();
 
   class FakeReports extends UsageReports {
     async send(report: UsageReport): Promise<ReportOutcome> {
       sent.push(structuredClone(report));
-      const isLost = lostAnswers.delete(report.window);
+      const isLost = windowsWithLostAnswer.delete(report.window);
       return isLost ? 'unknown' : 'taken';
     }
   }
@@ -60,14 +60,14 @@
     stop.abort();
     await running;
   };
-  return { clock, sent, lostAnswers, heartbeat, end };
+  return { clock, sent, lostAnswers: windowsWithLostAnswer, heartbeat, end };
 };
 
 test('a report whose answer was lost is sent again with the same figures', async (t) => {
-  // The platform has taken the report and its answer is lost. A host's counts arrive late, in
-  // between. Sent with them, the window would stand there twice, with different figures.
-  const { clock, sent, lostAnswers, heartbeat, end } = newParts();
-  lostAnswers.add(99);
+  // The platform accepts a report but its response is lost, and a host's late counts arrive before
+  // the report is repeated. If it included them, the window would be reported with two totals.
+  const { clock, sent, lostAnswers: windowsWithLostAnswer, heartbeat, end } = newParts();
+  windowsWithLostAnswer.add(99);
   heartbeat('a', { 99: { museum: 3 } }, 99);
   while (!sent.some(({ window }) => window === 99)) await clock.advance(100);
   heartbeat('b', { 99: { museum: 2 } }, 99);
@@ -79,8 +79,8 @@
   await end();
 });
 
-test('a window is closed once every live host has said its last word on it', async (t) => {
-  // One host's heartbeat is a little late. Closed without it, its customers would be billed too low.
+test('a window is closed once every live host has final counts for it', async (t) => {
+  // The heartbeat with one host's final counts is late. A window closed without it would underbill.
   const { clock, sent, heartbeat, end } = newParts();
   heartbeat('a', { 100: { museum: 3 } }, 99);
   heartbeat('b', { 100: { museum: 2 } }, 99);
@@ -100,8 +100,8 @@
   await end();
 });
 
-test('a dead host holds no window back for long', async (t) => {
-  // A host dies with its last counts unsent. The window is reported without them, still in time.
+test('a dead host delays the close of a window only for the grace period', async (t) => {
+  // A host dies before it sends its last counts. The window must still be reported in time.
   const { clock, sent, heartbeat, end } = newParts();
   heartbeat('a', { 100: { museum: 3 } }, 99);
   for (let second = 0; second < 12; second += 1) {
--- a/scripts/ablate.js
+++ b/scripts/ablate.js
@@ -34,13 +34,13 @@
   ],
   'ownership kept in outages': [
     'packages/hosts/src/newOwnership.ts',
-    'if (isUnsettled()) {',
-    'if (isUnsettled() && clock.now() < 0) {',
+    'if (isViewUnreliable()) {',
+    'if (isViewUnreliable() && clock.now() < 0) {',
   ],
   'who is live by the view': [
     'packages/hosts/src/newMembers.ts',
-    'viewAt ?? clock.now();',
-    'viewAt === null ? clock.now() : clock.now();',
+    'viewTime ?? clock.now();',
+    'viewTime === null ? clock.now() : clock.now();',
   ],
   'connected first': [
     'packages/engines/src/chooseUpstream.ts',
@@ -93,7 +93,11 @@
     'AWAY_MS = 7_000',
     'AWAY_MS = 1_800',
   ],
-  'strong hosts first': ['packages/hosts/src/rankHosts.ts', 'STRONG_PART = 0.5', 'STRONG_PART = 0'],
+  'strong hosts first': [
+    'packages/hosts/src/rankHosts.ts',
+    'MIN_STRONG_CORES_RATIO = 0.5',
+    'MIN_STRONG_CORES_RATIO = 0',
+  ],
 };
 
 const copyWithout = async (name, folder) => {
