--- a/packages/store/src/Store.ts
+++ b/packages/store/src/Store.ts
@@ -1,7 +1,6 @@
 import type { Result } from '@cyclamengate/common/outcome';
 import type { StoreFault } from './storeFault.js';
 
-/** A record of a topic. */
 export interface StoredRecord {
   offset: number;
   body: Buffer;
@@ -10,7 +9,7 @@
 export interface StorePage {
   /** The offset after the newest record. */
   end: number;
-  /** The oldest offset that is kept. */
+  /** The oldest retained offset. */
   first: number;
   records: StoredRecord[];
 }
@@ -19,21 +18,21 @@
 export interface KeyedRecord {
   key: string;
   offset: number;
-  /** Null where the key was dropped. */
+  /** Null if the key was deleted. */
   value: Buffer | null;
 }
 
 export interface KeyedSnapshot {
-  /** Reading on from here misses nothing that the snapshot lacks. */
+  /** Reading from this offset yields every record that is newer than the snapshot. */
   end: number;
   records: KeyedRecord[];
 }
 
-/** Lets the store recognise an append that is sent again. */
+/** Identifies an append, so that the store recognises a retry of it. */
 export interface Producer {
   name: string;
   epoch: number;
-  /** Number of this append; one more than the last one's. */
+  /** Sequence number of the append; one more than that of the producer's previous append. */
   sequence: number;
 }
 
@@ -42,9 +41,9 @@
   offset: number;
 }
 
-/** The shared store: topics of records in one order, each kept for a limited time. */
+/** The shared store: topics of ordered records, which are retained for a limited time. */
 export default abstract class Store {
-  /** Appends records in order, all or none. */
+  /** Appends all records in order, or none of them. */
   abstract append(
     topic: string,
     records: Buffer[],
@@ -52,15 +51,16 @@
   ): Promise<Result<Appended, StoreFault>>;
 
   /**
-   * Reads from an offset on, and waits so long for a record when there is none.
-   * @param mostKb of records, in KiB; the store's own most where it is left out
+   * Reads records from an offset on.
+   * @param waitMs how long to wait for a record if there is none yet
+   * @param maxKb maximum size of the page, in KiB; defaults to the store's own limit
    */
   abstract read(
     topic: string,
     from: number,
     waitMs: number,
     signal?: AbortSignal,
-    mostKb?: number,
+    maxKb?: number,
   ): Promise<Result<StorePage, StoreFault>>;
 
   /** Deletes the records before an offset. */
--- a/packages/store/src/hadOutage.ts
+++ b/packages/store/src/hadOutage.ts
@@ -1,10 +1,10 @@
-/** Reads are held open for half a second: while the store answers, a view is renewed more often. */
-const LONGEST_STEP_MS = 1_200;
+/** Reads are held open for half a second, so views refresh more often while the store answers. */
+const MAX_READ_INTERVAL_MS = 1_200;
 
 /**
- * Whether the store was away between two moments at which a view of it was whole.
- * @param before on the monotonic clock; minus infinity where the view never was whole
+ * Whether the store was unavailable between two times at which a view of it was complete.
+ * @param before on the monotonic clock; minus infinity if the view was never complete
  */
-const hadOutage = (before: number, at: number): boolean => at > before + LONGEST_STEP_MS;
+const hadOutage = (before: number, at: number): boolean => at > before + MAX_READ_INTERVAL_MS;
 
 export default hadOutage;
--- a/packages/store/src/newKeyedFollower.ts
+++ b/packages/store/src/newKeyedFollower.ts
@@ -3,65 +3,66 @@
 import type Store from './Store.js';
 import type { KeyedRecord } from './Store.js';
 
-const WAIT_MS = 500;
-const FAILED_PAUSE_MS = 100;
+const READ_WAIT_MS = 500;
+const RETRY_DELAY_MS = 100;
 
 export interface KeyedFollowerOptions {
   clock: Clock;
   log: EventLog;
   store: Store;
   topic: string;
-  /** Least time between two reads, in milliseconds. */
+  /** Minimum time between two reads, in milliseconds. */
   readPaceMs: () => number;
-  /** A key has a newer record; a null value means that it was dropped. */
+  /** Called with each newer record of a key; a null value means that the key was deleted. */
   apply: (record: KeyedRecord) => void;
-  /** The store has answered again after it did not. */
+  /** Called when a read succeeds after failed reads. */
   onBack?: () => void;
 }
 
 /**
  * Follows the newest record of each key of a topic.
  *
- * The topic's history may go at any time, also between two reads: then records that were never read
- * are missing, which shows as an offset that is no longer kept. The newest record of each key always
- * remains, so the whole is read anew and what is no longer there counts as dropped.
+ * The store may trim the topic at any time, so records can be deleted before they are read. This is
+ * detected by an offset that is no longer retained. The newest record of each key is always
+ * retained, so the follower then reads a snapshot, and treats keys that are missing from it as
+ * deleted.
  */
 const newKeyedFollower = (options: KeyedFollowerOptions) => {
   const { clock, log, store, topic, readPaceMs, apply, onBack } = options;
   const offsets = new Map<string, number>();
   let next: number | null = null;
   let freshAt = -Infinity;
-  let isLost = false;
+  let isUnavailable = false;
 
-  const take = (record: KeyedRecord): void => {
+  const applyIfNewer = (record: KeyedRecord): void => {
     if ((offsets.get(record.key) ?? -1) >= record.offset) return;
     if (record.value === null) offsets.delete(record.key);
     else offsets.set(record.key, record.offset);
     apply(record);
   };
 
-  /** A key that was dropped while history went leaves no record to read: it is only missing. */
+  /** The record that deleted a key may have been trimmed; only the key's absence shows it then. */
   const dropMissing = (found: Set<string>, end: number): void =>
     [...offsets].forEach(([key, offset]) => {
-      if (!found.has(key) && offset < end) take({ key, offset: end, value: null });
+      if (!found.has(key) && offset < end) applyIfNewer({ key, offset: end, value: null });
     });
 
   const readSnapshot = async (signal?: AbortSignal): Promise<boolean> => {
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     const snapshot = await store.newest(topic, signal);
     if (!snapshot.ok) return false;
     const { records, end } = snapshot.val;
-    records.forEach(take);
+    records.forEach(applyIfNewer);
     dropMissing(new Set(records.map(({ key }) => key)), end);
     log.info('store.snapshot', { topic, keys: records.length, end });
     next = end;
-    freshAt = askedAt;
+    freshAt = requestedAt;
     return true;
   };
 
   const readTail = async (from: number, signal?: AbortSignal): Promise<boolean> => {
-    const askedAt = clock.now();
-    const page = await store.read(topic, from, WAIT_MS, signal);
+    const requestedAt = clock.now();
+    const page = await store.read(topic, from, READ_WAIT_MS, signal);
     if (!page.ok) {
       if (page.val.type !== 'expired') return false;
       log.warn('store.history-gone', { topic, from, first: page.val.first });
@@ -74,27 +75,27 @@
       next = null;
       return true;
     }
-    records.map((record) => store.keyed(record)).forEach(take);
+    records.map((record) => store.keyed(record)).forEach(applyIfNewer);
     next = (records.at(-1)?.offset ?? from - 1) + 1;
-    if (next >= end) freshAt = askedAt;
+    if (next >= end) freshAt = requestedAt;
     return true;
   };
 
-  const note = (isRead: boolean): void => {
-    if (isRead && isLost) {
+  const noteReadResult = (isRead: boolean): void => {
+    if (isRead && isUnavailable) {
       log.info('store.read-back', { topic, next });
       onBack?.();
     }
-    if (!isRead && !isLost) log.warn('store.read-failed', { topic, next });
-    isLost = !isRead;
+    if (!isRead && !isUnavailable) log.warn('store.read-failed', { topic, next });
+    isUnavailable = !isRead;
   };
 
   const run = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
       const nextReadAt = clock.now() + readPaceMs();
       const isRead: boolean = await (next === null ? readSnapshot(signal) : readTail(next, signal));
-      note(isRead);
-      await clock.sleepUntil(isRead ? nextReadAt : clock.now() + FAILED_PAUSE_MS, signal);
+      noteReadResult(isRead);
+      await clock.sleepUntil(isRead ? nextReadAt : clock.now() + RETRY_DELAY_MS, signal);
     }
   };
 
--- a/packages/store/src/newMemoryStore.ts
+++ b/packages/store/src/newMemoryStore.ts
@@ -11,42 +11,42 @@
 } from './Store.js';
 import type { StoreFault } from './storeFault.js';
 
-/** The store keeps the answers of so many appends of a producer, as the platform's does. */
-const REMEMBERED_APPENDS = 5;
-const POLL_MS = 2;
-/** What a page holds where its reader names no size, as the platform's does. */
-const MOST_KB = 1_024;
+/** Number of appends of a producer whose answers are retained, as in the platform's store. */
+const RETAINED_ANSWERS = 5;
+const POLL_INTERVAL_MS = 2;
+/** Page size if the reader names none, as in the platform's store. */
+const DEFAULT_PAGE_KB = 1_024;
 const BYTES_IN_KB = 1_024;
-/** A record's length stands before it in a page. */
-const FRAME_BYTES = 4;
+/** Size of the length that precedes each record in a page. */
+const RECORD_HEADER_BYTES = 4;
 
 interface Topic {
   first: number;
   records: StoredRecord[];
-  /** By producer: its epoch, its last number, and the answers to its last appends. */
+  /** By producer: its epoch, its last sequence number, and the offsets of its last appends. */
   producers: Map<string, { epoch: number; last: number; answers: Map<number, number> }>;
 }
 
-/** How the store misbehaves, changed while it runs. */
+/** Injected faults, which can be changed at any time. */
 export interface StoreFaults {
-  /** Nothing is done, and the caller learns so. */
+  /** Calls are not executed, and the caller is told so. */
   isRefusing: boolean;
-  /** Nothing is done, and the caller learns nothing. */
+  /** Calls are not executed and not answered. */
   isSilent: boolean;
-  /** The next so many appends are done, and their answers lost. */
-  lostAnswers: number;
-  /** The next so many appends get no answer, and land when `landLate` is called. */
-  lateAppends: number;
+  /** Number of next appends that are executed but whose answers are lost. */
+  answersToLose: number;
+  /** Number of next appends that are unanswered, and executed by `executeDelayedAppends`. */
+  appendsToDelay: number;
 }
 
 export const newNoFaults = (): StoreFaults => ({
   isRefusing: false,
   isSilent: false,
-  lostAnswers: 0,
-  lateAppends: 0,
+  answersToLose: 0,
+  appendsToDelay: 0,
 });
 
-const keyOf = (body: Buffer): { key: string; value: Buffer | null } => {
+const parseKeyedBody = (body: Buffer): { key: string; value: Buffer | null } => {
   const length = body[0] ?? 0;
   const value = body.subarray(1 + length);
   return {
@@ -55,24 +55,24 @@
   };
 };
 
-/** A record of a keyed topic, as the store keeps it. */
+/** Encodes a record of a keyed topic as it is stored. */
 export const keyedBody = (key: string, value: string): Buffer =>
   Buffer.concat([Buffer.from([key.length]), Buffer.from(key), Buffer.from(value)]);
 
-const pause = (): Promise<void> =>
+const waitPollInterval = (): Promise<void> =>
   new Promise((resolve) => {
-    setTimeout(resolve, POLL_MS);
+    setTimeout(resolve, POLL_INTERVAL_MS);
   });
 
 /**
- * A store in this process's memory: for tests, the demo, and the stand-in that serves it over HTTP.
- * One instance is the platform's; each host sees it through a view with faults of its own.
+ * An in-memory store for tests, the demo, and the stand-in that serves it over HTTP. All hosts
+ * share one instance; each of them accesses it through a view with its own faults.
  */
 const newMemoryStore = () => {
   const topics = new Map<string, Topic>();
-  const late: (() => void)[] = [];
+  const delayedAppends: (() => void)[] = [];
 
-  const topicOf = (name: string): Topic => {
+  const getOrCreateTopic = (name: string): Topic => {
     const known = topics.get(name);
     if (known) return known;
     const created = { first: 0, records: [], producers: new Map() };
@@ -80,10 +80,10 @@
     return created;
   };
 
-  const endOf = ({ first, records }: Topic): number => first + records.length;
+  const endOffset = ({ first, records }: Topic): number => first + records.length;
 
   const put = (topic: Topic, bodies: Buffer[]): number => {
-    const offset = endOf(topic);
+    const offset = endOffset(topic);
     bodies.forEach((body, index) => topic.records.push({ offset: offset + index, body }));
     return offset;
   };
@@ -93,7 +93,7 @@
     bodies: Buffer[],
     { name: producer, epoch, sequence }: Producer,
   ): Result<Appended, StoreFault> => {
-    const topic = topicOf(name);
+    const topic = getOrCreateTopic(name);
     const known = topic.producers.get(producer);
     if (known && epoch < known.epoch) return Err({ type: 'fenced' });
     const answers = known?.epoch === epoch ? known.answers : new Map<number, number>();
@@ -103,48 +103,56 @@
     if (!isNext) return Err({ type: 'sequence', expected: (known?.last ?? -1) + 1 });
     const offset = put(topic, bodies);
     answers.set(sequence, offset);
-    answers.delete(sequence - REMEMBERED_APPENDS);
+    answers.delete(sequence - RETAINED_ANSWERS);
     topic.producers.set(producer, { epoch, last: sequence, answers });
     return Ok({ offset });
   };
 
-  /** Records from an offset on, up to so many bytes; one at least where there is one. */
-  const pageOf = ({ first, records }: Topic, from: number, mostBytes: number): StoredRecord[] => {
+  /** Records from an offset on, up to a number of bytes; at least one record if there is any. */
+  const selectPage = (
+    { first, records }: Topic,
+    from: number,
+    maxBytes: number,
+  ): StoredRecord[] => {
     const rest = records.slice(from - first);
     let bytes = 0;
-    const cut = rest.findIndex(({ body }, index) => {
-      bytes += body.length + FRAME_BYTES;
-      return index > 0 && bytes > mostBytes;
+    const firstExcess = rest.findIndex(({ body }, index) => {
+      bytes += body.length + RECORD_HEADER_BYTES;
+      return index > 0 && bytes > maxBytes;
     });
-    return cut === -1 ? rest : rest.slice(0, cut);
+    return firstExcess === -1 ? rest : rest.slice(0, firstExcess);
   };
 
-  const read = (name: string, from: number, mostKb = MOST_KB): Result<StorePage, StoreFault> => {
-    const topic = topicOf(name);
+  const read = (
+    name: string,
+    from: number,
+    maxKb = DEFAULT_PAGE_KB,
+  ): Result<StorePage, StoreFault> => {
+    const topic = getOrCreateTopic(name);
     if (from < topic.first) return Err({ type: 'expired', first: topic.first });
-    const records = pageOf(topic, from, mostKb * BYTES_IN_KB);
-    return Ok({ end: endOf(topic), first: topic.first, records });
+    const records = selectPage(topic, from, maxKb * BYTES_IN_KB);
+    return Ok({ end: endOffset(topic), first: topic.first, records });
   };
 
   const newest = (name: string): KeyedSnapshot => {
-    const topic = topicOf(name);
+    const topic = getOrCreateTopic(name);
     const byKey = new Map<string, KeyedRecord>();
     topic.records.forEach(({ offset, body }) => {
-      const { key, value } = keyOf(body);
+      const { key, value } = parseKeyedBody(body);
       if (value === null) byKey.delete(key);
       else byKey.set(key, { key, offset, value });
     });
-    return { end: endOf(topic), records: [...byKey.values()] };
+    return { end: endOffset(topic), records: [...byKey.values()] };
   };
 
   const trim = (name: string, before: number): void => {
-    const topic = topicOf(name);
-    const kept = topic.records.filter(({ offset }) => offset >= before);
+    const topic = getOrCreateTopic(name);
+    const retained = topic.records.filter(({ offset }) => offset >= before);
     topic.first = Math.max(topic.first, before);
-    topic.records = kept;
+    topic.records = retained;
   };
 
-  /** The store as one host sees it. */
+  /** Access to the store for one host, with injected faults. */
   const newView = (faults: StoreFaults = newNoFaults()): Store => {
     const fault = (): Result<never, StoreFault> | null => {
       if (faults.isSilent) return Err({ type: 'unknown', reason: 'silent' });
@@ -159,14 +167,14 @@
       ): Promise<Result<Appended, StoreFault>> {
         const failed = fault();
         if (failed) return failed;
-        if (faults.lateAppends > 0) {
-          faults.lateAppends -= 1;
-          late.push(() => append(topic, records, producer));
+        if (faults.appendsToDelay > 0) {
+          faults.appendsToDelay -= 1;
+          delayedAppends.push(() => append(topic, records, producer));
           return Err({ type: 'unknown', reason: 'late' });
         }
         const answer = append(topic, records, producer);
-        if (faults.lostAnswers === 0) return answer;
-        faults.lostAnswers -= 1;
+        if (faults.answersToLose === 0) return answer;
+        faults.answersToLose -= 1;
         return Err({ type: 'unknown', reason: 'answer lost' });
       }
 
@@ -175,14 +183,14 @@
         from: number,
         waitMs: number,
         signal?: AbortSignal,
-        mostKb?: number,
+        maxKb?: number,
       ): Promise<Result<StorePage, StoreFault>> {
         const waitUntil = Date.now() + waitMs;
         for (;;) {
-          const page = fault() ?? read(topic, from, mostKb);
+          const page = fault() ?? read(topic, from, maxKb);
           const isEmpty = page.ok && page.val.records.length === 0;
           if (!isEmpty || Date.now() >= waitUntil || signal?.aborted) return page;
-          await pause();
+          await waitPollInterval();
         }
       }
 
@@ -197,7 +205,7 @@
       }
 
       keyed({ offset, body }: StoredRecord): KeyedRecord {
-        return { offset, ...keyOf(body) };
+        return { offset, ...parseKeyedBody(body) };
       }
     }
     return new MemoryStore();
@@ -208,12 +216,12 @@
     append,
     read,
     newest,
-    /** Writes as the platform itself does. */
-    put: (topic: string, bodies: Buffer[]): number => put(topicOf(topic), bodies),
-    bodies: (topic: string): Buffer[] => topicOf(topic).records.map(({ body }) => body),
-    /** Appends that got no answer land now. */
-    landLate: (): void => late.splice(0).forEach((land) => land()),
-    /** Drops the oldest records; of a keyed topic the newest of each key remains readable. */
+    /** Writes without a producer, as the platform itself does. */
+    put: (topic: string, bodies: Buffer[]): number => put(getOrCreateTopic(topic), bodies),
+    bodies: (topic: string): Buffer[] => getOrCreateTopic(topic).records.map(({ body }) => body),
+    /** Executes the appends that were delayed. */
+    executeDelayedAppends: (): void => delayedAppends.splice(0).forEach((execute) => execute()),
+    /** Deletes the records before an offset. */
     trim,
   };
 };
--- a/packages/store/src/newStoreWriter.ts
+++ b/packages/store/src/newStoreWriter.ts
@@ -4,11 +4,11 @@
 import type { Producer } from './Store.js';
 import type { StoreFault } from './storeFault.js';
 
-/** What became of a write: `unknown` may have landed or may still land. */
+/** The outcome of a write: after `unknown` the records may have been appended, or may be later. */
 export type WriteOutcome = 'written' | 'not-written' | 'unknown';
 
-/** A write's outcome, and the offset of its first record where the store named it. */
-export interface Placed {
+/** The outcome of a write, and the offset of its first record if the store returned it. */
+export interface WriteResult {
   outcome: WriteOutcome;
   offset: number | null;
 }
@@ -16,14 +16,14 @@
 interface Write {
   records: Buffer[];
   deadline: number;
-  settle: (placed: Placed) => void;
+  settle: (placed: WriteResult) => void;
 }
 
-/** Most bytes of one append, below the store's limit of 2 MiB a call. */
-const MOST_BYTES = 1_500_000;
-/** First pause after a refusal; doubles up to the longest. The store refuses for seconds at most. */
-const FIRST_PAUSE_MS = 25;
-const LONGEST_PAUSE_MS = 250;
+/** Maximum size of one append; the store's limit is 2 MiB per call. */
+const MAX_APPEND_BYTES = 1_500_000;
+/** Delay after the first refusal; doubles up to the maximum. Refusals last seconds at most. */
+const INITIAL_BACKOFF_MS = 25;
+const MAX_BACKOFF_MS = 250;
 
 export interface StoreWriterOptions {
   clock: Clock;
@@ -34,21 +34,21 @@
   producer: string;
 }
 
-const sizeOf = ({ records }: Write): number =>
+const encodedBytes = ({ records }: Write): number =>
   records.reduce((sum, record) => sum + record.length + 4, 0);
 
 /**
- * Writes records to one topic, those that gather meanwhile in one append.
+ * Writes records to one topic; records that are queued during an append share the next one.
  *
- * The store's answer to an append can be lost, and the append can land seconds later. Sent again
- * under a new name it would stand twice, and a caller could be told "not kept" of what is kept. So
- * each append has a sequence number under which the store recognises it, one is under way at a
- * time, and one without an answer is repeated unchanged until it has one. Its writers learn
- * `unknown` when their deadline passes first.
+ * The store's answer to an append can be lost, and the append can be executed seconds later.
+ * Retrying it as a new append could store the records twice, or a caller could be told that stored
+ * records were not written. So each append has a sequence number by which the store recognises a
+ * retry, only one append is in flight at a time, and an unanswered append is retried unchanged
+ * until it is answered. Writes whose deadline passes before that settle as `unknown`.
  */
 const newStoreWriter = (options: StoreWriterOptions) => {
   const { clock, log, store, topic, producer } = options;
-  let waiting: Write[] = [];
+  let queue: Write[] = [];
   let sequence = 0;
   let epoch = 1;
   let isRunning = false;
@@ -62,94 +62,95 @@
 
   const takeGroup = (): Write[] => {
     let bytes = 0;
-    const count = waiting.findIndex((write, index) => {
-      bytes += sizeOf(write);
-      return index > 0 && bytes > MOST_BYTES;
+    const count = queue.findIndex((write, index) => {
+      bytes += encodedBytes(write);
+      return index > 0 && bytes > MAX_APPEND_BYTES;
     });
-    return waiting.splice(0, count === -1 ? waiting.length : count);
+    return queue.splice(0, count === -1 ? queue.length : count);
   };
 
-  /** A call that took longer than its pause is followed at once: it was silent, not refused. */
-  const pauseAfter = (startedAt: number, failures: number): Promise<void> =>
+  /** The delay counts from the start of the call, so a call that timed out is retried at once. */
+  const backOff = (startedAt: number, failures: number): Promise<void> =>
     clock.sleepUntil(
-      startedAt + Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(failures, 4)),
+      startedAt + Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** Math.min(failures, 4)),
     );
 
-  /** Whether the fault shows that the append has landed before. */
-  const hasLanded = (fault: StoreFault): boolean =>
+  /** Whether the fault shows that an earlier attempt was appended. */
+  const isAlreadyAppended = (fault: StoreFault): boolean =>
     fault.type === 'sequence' && fault.expected > sequence;
 
-  /** The store no longer knows this producer's numbers: a new epoch starts a new series. */
-  const renumber = (fault: StoreFault): void => {
+  /** Starts a new epoch if the store no longer accepts this producer's sequence numbers. */
+  const startNewEpoch = (fault: StoreFault): void => {
     if (fault.type !== 'sequence' && fault.type !== 'fenced') return;
     epoch += 1;
     log.warn('store.renumbered', { topic, sequence, epoch, reason: fault.type });
   };
 
-  /** @param offset of the group's first record; null when only the landing itself is known */
-  const settleWritten = (group: Write[], live: Write[], offset: number | null): void => {
+  /** @param offset of the group's first record; null if the append succeeded without an answer */
+  const settleWritten = (group: Write[], pending: Write[], offset: number | null): void => {
     let next = offset;
     group.forEach((write) => {
-      if (live.includes(write)) write.settle({ outcome: 'written', offset: next });
+      if (pending.includes(write)) write.settle({ outcome: 'written', offset: next });
       if (next !== null) next += write.records.length;
     });
   };
 
   const send = async (group: Write[]): Promise<void> => {
-    let live = group;
-    // One that may have landed is repeated as it was sent: the store answers for what came first.
+    let pending = group;
+    // If an attempt may have been appended, the same records are sent again: the store answers a
+    // retry with the offset of the records that it received first.
     let sent = group;
     let isAmbiguous = false;
     let failures = 0;
-    const name = (): Producer => ({ name: producer, epoch, sequence });
-    while (live.length > 0 || isAmbiguous) {
-      if (!isAmbiguous) sent = live;
+    const currentProducer = (): Producer => ({ name: producer, epoch, sequence });
+    while (pending.length > 0 || isAmbiguous) {
+      if (!isAmbiguous) sent = pending;
       const startedAt = clock.now();
       const answer = await store.append(
         topic,
         sent.flatMap(({ records }) => records),
-        name(),
+        currentProducer(),
       );
-      if (answer.ok || hasLanded(answer.val)) {
+      if (answer.ok || isAlreadyAppended(answer.val)) {
         sequence += 1;
-        settleWritten(sent, live, answer.ok ? answer.val.offset : null);
+        settleWritten(sent, pending, answer.ok ? answer.val.offset : null);
         if (failures > 0) log.info('store.append-back', { topic, failures });
         return;
       }
       if (failures === 0) log.warn('store.append-failed', { topic, fault: answer.val });
       failures += 1;
       isAmbiguous = isAmbiguous || answer.val.type === 'unknown';
-      renumber(answer.val);
-      live = settleExpired(live, isAmbiguous ? 'unknown' : 'not-written');
-      if (live.length > 0 || isAmbiguous) await pauseAfter(startedAt, failures);
-      waiting = settleExpired(waiting, 'not-written');
+      startNewEpoch(answer.val);
+      pending = settleExpired(pending, isAmbiguous ? 'unknown' : 'not-written');
+      if (pending.length > 0 || isAmbiguous) await backOff(startedAt, failures);
+      queue = settleExpired(queue, 'not-written');
     }
   };
 
   const run = async (): Promise<void> => {
     if (isRunning) return;
     isRunning = true;
-    while (waiting.length > 0) {
-      waiting = settleExpired(waiting, 'not-written');
+    while (queue.length > 0) {
+      queue = settleExpired(queue, 'not-written');
       await send(takeGroup());
     }
     isRunning = false;
   };
 
   /**
-   * Writes records that stand together.
+   * Writes records to consecutive offsets.
    * @param deadline on the monotonic clock, in milliseconds
    */
-  const place = (records: Buffer[], deadline: number): Promise<Placed> =>
+  const writeWithOffset = (records: Buffer[], deadline: number): Promise<WriteResult> =>
     new Promise((settle) => {
-      waiting.push({ records, deadline, settle });
+      queue.push({ records, deadline, settle });
       run();
     });
 
   return {
-    place,
+    place: writeWithOffset,
     write: async (records: Buffer[], deadline: number): Promise<WriteOutcome> =>
-      (await place(records, deadline)).outcome,
+      (await writeWithOffset(records, deadline)).outcome,
   };
 };
 
--- a/packages/store/src/newTopicFollower.ts
+++ b/packages/store/src/newTopicFollower.ts
@@ -4,15 +4,15 @@
 import type Store from './Store.js';
 import type { StoredRecord } from './Store.js';
 
-/** How long the store holds a read open for a new record; bounds how stale a quiet view gets. */
-const WAIT_MS = 500;
-/** Pause after a failed read, so that an outage is not met by a storm of calls. */
-const FAILED_PAUSE_MS = 100;
-/** How often a caller that waits for the first reading looks whether it is done. */
-const FIRST_POLL_MS = 20;
-/** Sizes of a page, in KiB. The smallest holds the largest record; the store gives no larger ones. */
-const SMALLEST_PAGE_KB = 256;
-const LARGEST_PAGE_KB = 1_024;
+/** How long the store holds a read open; bounds the staleness of a view without new records. */
+const READ_WAIT_MS = 500;
+/** Delay after a failed read, so that an outage does not cause a flood of calls. */
+const RETRY_DELAY_MS = 100;
+/** How often `catchUp` checks whether the initial read has finished. */
+const INITIAL_READ_POLL_MS = 20;
+/** Page sizes in KiB. The smallest fits the largest record; the largest is the store's limit. */
+const MIN_PAGE_KB = 256;
+const MAX_PAGE_KB = 1_024;
 const PAGE_GROWTH_KB = 64;
 
 export interface TopicFollowerOptions {
@@ -20,24 +20,24 @@
   log: EventLog;
   store: Store;
   topic: string;
-  /** Least time between two reads of `run`: what it adds in delay it saves in calls. */
+  /** Minimum time between two reads of `run`; a longer time adds delay but saves calls. */
   readPaceMs?: () => number;
   apply: (records: StoredRecord[]) => void;
-  /** The view holds everything that was written before this moment of the monotonic clock. */
+  /** Called when the view holds everything written before `at`, on the monotonic clock. */
   onWhole?: (at: number) => void;
 }
 
 /**
- * Follows one topic from its oldest record on, and knows how fresh its view is.
+ * Follows one topic from its oldest record on, and tracks how recent its view is.
  *
- * A view that lags looks like an absence: a batch that another host has just accepted is not there
- * yet. `catchUp` reads to the end that the topic has now, so that "not there" is said only of what
- * is truly not there.
+ * A lagging view lacks records that exist, such as a batch that another host has just accepted.
+ * `catchUp` reads to the current end of the topic, so that a record can be reported as missing
+ * reliably.
  *
- * When many hosts start at once they all read from the beginning, and share what the store and their
- * links carry. Pages of full size then arrive later than any call waits; each host asks for the same
- * page again and again, and none ever has a whole view. So a page that did not come is asked for at
- * half its size, and each page that came lets the next one be a little larger.
+ * When many hosts start at once they all read from the beginning, and share the bandwidth of the
+ * store and of their links. Full pages then take longer than the timeout of a call, so that each
+ * host requests the same page repeatedly and none ever completes its view. Therefore a failed read
+ * halves the page size, and each successful read increases it slightly.
  */
 const newTopicFollower = (options: TopicFollowerOptions) => {
   const { clock, log, store, topic, readPaceMs = () => 0, apply, onWhole } = options;
@@ -45,36 +45,36 @@
   let freshAt = -Infinity;
   /** When the newest outage ended. */
   let steadySince = -Infinity;
-  /** The end that the newest answer named. */
+  /** The highest end offset that the store has returned. */
   let knownEnd = 0;
-  let isLost = false;
+  let isUnavailable = false;
   let isRunning = false;
-  let pageKb = SMALLEST_PAGE_KB;
+  let pageKb = MIN_PAGE_KB;
   const startedAt = clock.now();
-  /** What was read until the view was whole for the first time. */
-  const firstRead = { reads: 0, records: 0, bytes: 0 };
+  /** Totals of the reads until the view was complete for the first time. */
+  const initialRead = { reads: 0, records: 0, bytes: 0 };
 
-  const noteRead = (records: StoredRecord[], isWhole: boolean): void => {
+  const noteInitialRead = (records: StoredRecord[], isCaughtUp: boolean): void => {
     if (freshAt !== -Infinity) return;
-    firstRead.reads += 1;
-    firstRead.records += records.length;
-    firstRead.bytes += records.reduce((sum, { body }) => sum + body.length, 0);
+    initialRead.reads += 1;
+    initialRead.records += records.length;
+    initialRead.bytes += records.reduce((sum, { body }) => sum + body.length, 0);
     const tookMs = Math.round(clock.now() - startedAt);
-    if (isWhole) log.info('store.caught-up', { topic, ...firstRead, tookMs });
+    if (isCaughtUp) log.info('store.caught-up', { topic, ...initialRead, tookMs });
   };
 
-  const noteBack = (): void => {
-    if (isLost) log.info('store.read-back', { topic, next });
-    isLost = false;
+  const noteRecovered = (): void => {
+    if (isUnavailable) log.info('store.read-back', { topic, next });
+    isUnavailable = false;
   };
 
-  const noteLost = (reason: string): void => {
-    if (!isLost) log.warn('store.read-failed', { topic, next, reason });
-    isLost = true;
+  const noteFailure = (reason: string): void => {
+    if (!isUnavailable) log.warn('store.read-failed', { topic, next, reason });
+    isUnavailable = true;
   };
 
-  /** Takes records that continue the view; a concurrent read may have brought some already. */
-  const take = (records: StoredRecord[]): void => {
+  /** Applies records that are new to the view; a concurrent read may have applied some already. */
+  const applyNew = (records: StoredRecord[]): void => {
     const fresh = records.filter(({ offset }) => offset >= next);
     const newest = fresh.at(-1);
     if (!newest) return;
@@ -83,18 +83,18 @@
   };
 
   const readOnce = async (waitMs: number, signal?: AbortSignal): Promise<boolean> => {
-    const askedAt = clock.now();
+    const requestedAt = clock.now();
     const page = await store.read(topic, next, waitMs, signal, pageKb);
     if (page.ok) {
-      noteBack();
-      pageKb = Math.min(LARGEST_PAGE_KB, pageKb + PAGE_GROWTH_KB);
-      take(page.val.records);
+      noteRecovered();
+      pageKb = Math.min(MAX_PAGE_KB, pageKb + PAGE_GROWTH_KB);
+      applyNew(page.val.records);
       knownEnd = Math.max(knownEnd, page.val.end);
-      const isWhole = next >= knownEnd;
-      noteRead(page.val.records, isWhole);
-      if (isWhole) {
-        if (hadOutage(freshAt, askedAt)) steadySince = clock.now();
-        freshAt = Math.max(freshAt, askedAt);
+      const isCaughtUp = next >= knownEnd;
+      noteInitialRead(page.val.records, isCaughtUp);
+      if (isCaughtUp) {
+        if (hadOutage(freshAt, requestedAt)) steadySince = clock.now();
+        freshAt = Math.max(freshAt, requestedAt);
         onWhole?.(freshAt);
       }
       return true;
@@ -104,8 +104,8 @@
       next = page.val.first;
       return true;
     }
-    pageKb = Math.max(SMALLEST_PAGE_KB, pageKb / 2);
-    noteLost(page.val.type);
+    pageKb = Math.max(MIN_PAGE_KB, pageKb / 2);
+    noteFailure(page.val.type);
     return false;
   };
 
@@ -113,37 +113,37 @@
     isRunning = true;
     while (!signal.aborted) {
       const nextReadAt = clock.now() + readPaceMs();
-      const isRead = await readOnce(WAIT_MS, signal);
+      const isRead = await readOnce(READ_WAIT_MS, signal);
       const pauseUntil = next < knownEnd ? clock.now() : nextReadAt;
-      await clock.sleepUntil(isRead ? pauseUntil : clock.now() + FAILED_PAUSE_MS, signal);
+      await clock.sleepUntil(isRead ? pauseUntil : clock.now() + RETRY_DELAY_MS, signal);
     }
   };
 
   /**
-   * Reads on until the view holds all that the topic held when this was called.
-   * @returns false when that can't be done before the deadline
+   * Reads until the view holds all records that the topic held at the time of the call.
+   * @returns false if the deadline passed before that
    */
   const catchUp = async (deadline: number): Promise<boolean> => {
-    const askedAt = clock.now();
-    while (freshAt < askedAt && clock.now() < deadline) {
-      // The first reading is under way and brings all: a second one would share its bandwidth.
-      const isFirst = isRunning && freshAt === -Infinity && !isLost;
-      const isRead = !isFirst && (await readOnce(0));
-      if (isFirst) await clock.sleepUntil(clock.now() + FIRST_POLL_MS);
-      else if (!isRead) await clock.sleepUntil(clock.now() + FAILED_PAUSE_MS);
+    const requestedAt = clock.now();
+    while (freshAt < requestedAt && clock.now() < deadline) {
+      // `run` is still reading the whole topic; a second reader would share its bandwidth.
+      const isInitialReadRunning = isRunning && freshAt === -Infinity && !isUnavailable;
+      const isRead = !isInitialReadRunning && (await readOnce(0));
+      if (isInitialReadRunning) await clock.sleepUntil(clock.now() + INITIAL_READ_POLL_MS);
+      else if (!isRead) await clock.sleepUntil(clock.now() + RETRY_DELAY_MS);
     }
-    return freshAt >= askedAt;
+    return freshAt >= requestedAt;
   };
 
   return {
     run,
     catchUp,
-    /** The view holds everything that was written before this moment of the monotonic clock. */
+    /** Monotonic time before which all written records are in the view. */
     freshAt: (): number => freshAt,
-    /** When the newest outage ended; minus infinity before the first reading. */
+    /** When the newest outage ended; minus infinity before the view is first complete. */
     steadySince: (): number => steadySince,
-    /** Whether the newest read brought nothing. */
-    isLost: (): boolean => isLost,
+    /** Whether the newest read failed. */
+    isLost: (): boolean => isUnavailable,
   };
 };
 
--- a/packages/store/src/newTrimmer.ts
+++ b/packages/store/src/newTrimmer.ts
@@ -2,42 +2,42 @@
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 import type Store from './Store.js';
 
-/** How often an offset is remembered, and so how often the topic is trimmed at most. */
-const NOTE_EVERY_MS = 3_000;
+/** Minimum time between two recorded offsets, and so between two trims of the topic. */
+const MIN_TRIM_INTERVAL_MS = 3_000;
 
 export interface TrimmerOptions {
   clock: Clock;
   log: EventLog;
   store: Store;
   topic: string;
-  /** Records older than this are of no use to anybody, in milliseconds. */
+  /** Retention period of the records, in milliseconds. */
   lifeMs: number;
 }
 
 /**
- * Deletes records of a topic that have outlived their use.
+ * Deletes records of a topic after their retention period.
  *
- * A host that reads the topic reads it from its oldest record on: left alone, that would be minutes
- * of records for the few seconds that it needs.
+ * A host reads the topic from its oldest record on. Without trimming, it would read minutes of
+ * records although it needs only those of a few seconds.
  */
 const newTrimmer = ({ clock, log, store, topic, lifeMs }: TrimmerOptions) => {
-  let notes: { offset: number; deadline: number }[] = [];
-  let nextNoteAt = -Infinity;
+  let trimPoints: { offset: number; deadline: number }[] = [];
+  let nextTrimPointAt = -Infinity;
 
   const trim = async (before: number): Promise<void> => {
     const trimmed = await store.trim(topic, before);
     if (!trimmed.ok) log.warn('store.trim-failed', { topic, before, fault: trimmed.val });
   };
 
-  /** @param offset of a record that was written just now */
+  /** @param offset of a record that has just been written */
   return (offset: number): void => {
     const now = clock.now();
-    if (now < nextNoteAt) return;
-    nextNoteAt = now + NOTE_EVERY_MS;
-    const over = notes.filter(({ deadline }) => deadline < now);
-    notes = notes.filter(({ deadline }) => deadline >= now);
-    notes.push({ offset, deadline: now + lifeMs });
-    const newest = over.at(-1);
+    if (now < nextTrimPointAt) return;
+    nextTrimPointAt = now + MIN_TRIM_INTERVAL_MS;
+    const expired = trimPoints.filter(({ deadline }) => deadline < now);
+    trimPoints = trimPoints.filter(({ deadline }) => deadline >= now);
+    trimPoints.push({ offset, deadline: now + lifeMs });
+    const newest = expired.at(-1);
     if (newest) trim(newest.offset);
   };
 };
--- a/packages/store/src/storeFault.ts
+++ b/packages/store/src/storeFault.ts
@@ -1,12 +1,12 @@
-/** Why a call to the store brought nothing. */
+/** Why a call to the store failed. */
 export type StoreFault =
-  /** The store said, or the connection shows, that nothing was done. */
+  /** The store refused the call or could not be reached; the call was not executed. */
   | { type: 'not-done'; reason: string }
-  /** No answer: it may have been done, or may still be done seconds later. */
+  /** Unanswered: the call may have been executed, or may still be executed seconds later. */
   | { type: 'unknown'; reason: string }
-  /** Another append of this producer is expected next. */
+  /** The sequence number is not the one that the store expects next of this producer. */
   | { type: 'sequence'; expected: number }
-  /** A newer epoch of this producer has written. */
+  /** A newer epoch of this producer has appended records. */
   | { type: 'fenced' }
-  /** The records asked for are no longer kept; the oldest kept one is named. */
+  /** The requested records are no longer retained; `first` is the oldest retained offset. */
   | { type: 'expired'; first: number };
--- a/packages/store/tests/FaultyStore.ts
+++ b/packages/store/tests/FaultyStore.ts
@@ -8,8 +8,9 @@
 type Answer = Result<Appended, StoreFault>;
 
 /**
- * `lost` is done without an answer, `late` without one and after the caller has given up; `seq` and
- * `fenced` do nothing; `forgot` serves a producer whose answers, but not numbers, were forgotten.
+ * `lost` executes the append and loses the answer; `late` executes it after the call timed out;
+ * `seq` and `fenced` reject it; `forgot` executes it after the producer's retained answers were
+ * deleted, but not its last sequence number.
  */
 export type FaultKind =
   | 'none'
@@ -25,22 +26,26 @@
 
 export interface Fault {
   kind: FaultKind;
-  /** Between 0 and 1, of the time that a call of this kind may take. */
-  share: number;
-  /** When a late append is executed, counted from its sending. */
+  /** Between 0 and 1, of the maximum duration of a call of this kind. */
+  delayFraction: number;
+  /** Delay from the call until a late append is executed. */
   lateMs: number;
 }
 
-const REMEMBERED_APPENDS = 5;
+const RETAINED_ANSWERS = 5;
 const CALL_TIMEOUT_MS = 1_200;
 const CONNECT_TIMEOUT_MS = 800;
-const SERVED_WITHIN_MS = 40;
-/** When a late append is executed, counted from its sending: least and most. */
-export const LATE_MS = [1_000, 6_000] as const;
+const MAX_SERVICE_MS = 40;
+/** Minimum and maximum delay from the call until a late append is executed. */
+export const LATE_DELAY_RANGE_MS = [1_000, 6_000] as const;
 
-export const faultOf = (kind: FaultKind, share = 0): Fault => ({ kind, share, lateMs: LATE_MS[0] });
+export const newFault = (kind: FaultKind, delayFraction = 0): Fault => ({
+  kind,
+  delayFraction,
+  lateMs: LATE_DELAY_RANGE_MS[0],
+});
 
-/** One partition of the platform's store, with the numbers of its producers. */
+/** One partition of the platform's store, with the sequence numbers of its producers. */
 export const newPartition = () => {
   const log: string[] = [];
   const producers = new Map<string, { epoch: number; last: number; answers: number[] }>();
@@ -54,23 +59,23 @@
     if (sequence !== series.last + 1) return Err({ type: 'sequence', expected: series.last + 1 });
     const offset = log.length;
     log.push(...bodies);
-    const answers = [...series.answers, offset].slice(-REMEMBERED_APPENDS);
+    const answers = [...series.answers, offset].slice(-RETAINED_ANSWERS);
     producers.set(name, { epoch, last: sequence, answers });
     return Ok({ offset });
   };
 
-  const forget = (name: string): void => {
+  const forgetAnswers = (name: string): void => {
     producers.get(name)?.answers.splice(0);
   };
 
-  return { log, appendAs, forget };
+  return { log, appendAs, forgetAnswers };
 };
 
 export type Partition = ReturnType<typeof newPartition>;
 
-const show = (answer: Answer): string => JSON.stringify(answer.val);
+const format = (answer: Answer): string => JSON.stringify(answer.val);
 
-/** The partition as one host reaches it: each append meets the next of the host's faults. */
+/** One host's access to the partition; each append uses the next of the host's faults. */
 export class FaultyStore extends Store {
   constructor(
     private readonly clock: Clock,
@@ -82,60 +87,63 @@
   }
 
   async append(_topic: string, records: Buffer[], producer: Producer): Promise<Answer> {
-    const fault = this.faults.shift() ?? faultOf('none');
+    const fault = this.faults.shift() ?? newFault('none');
     const bodies = records.map(String);
     const label = `${producer.name} epoch ${producer.epoch} seq ${producer.sequence}`;
-    this.note(`${label} sends [${bodies.join(' ')}] (${fault.kind})`);
-    if (fault.kind === 'forgot') this.partition.forget(producer.name);
-    const answer = await this.meet(fault, () => {
-      const done = this.partition.appendAs(producer, bodies);
-      this.note(`${label} [${bodies.join(' ')}] executed: ${show(done)}`);
-      return done;
+    this.addTrace(`${label} sends [${bodies.join(' ')}] (${fault.kind})`);
+    if (fault.kind === 'forgot') this.partition.forgetAnswers(producer.name);
+    const answer = await this.executeWithFault(fault, () => {
+      const executed = this.partition.appendAs(producer, bodies);
+      this.addTrace(`${label} [${bodies.join(' ')}] executed: ${format(executed)}`);
+      return executed;
     });
-    this.note(`${label} is answered ${show(answer)}`);
+    this.addTrace(`${label} is answered ${format(answer)}`);
     return answer;
   }
 
-  private note(line: string): void {
+  private addTrace(line: string): void {
     this.trace.push(`${this.clock.now()} ${line}`);
   }
 
-  private async pass(ms: number): Promise<void> {
+  private async delay(ms: number): Promise<void> {
     await this.clock.sleepUntil(this.clock.now() + Math.round(ms));
   }
 
-  private async meet({ kind, share, lateMs }: Fault, execute: () => Answer): Promise<Answer> {
+  private async executeWithFault(
+    { kind, delayFraction, lateMs }: Fault,
+    execute: () => Answer,
+  ): Promise<Answer> {
     const unanswered = Err<StoreFault>({ type: 'unknown', reason: kind });
     switch (kind) {
       case 'refused':
-        await this.pass(share * SERVED_WITHIN_MS);
+        await this.delay(delayFraction * MAX_SERVICE_MS);
         return Err({ type: 'not-done', reason: 'status 503' });
       case 'unconnected':
-        await this.pass(share * CONNECT_TIMEOUT_MS);
+        await this.delay(delayFraction * CONNECT_TIMEOUT_MS);
         return Err({ type: 'not-done', reason: 'ECONNREFUSED' });
       case 'lost':
-        await this.pass(share * CALL_TIMEOUT_MS);
+        await this.delay(delayFraction * CALL_TIMEOUT_MS);
         execute();
-        await this.pass((1 - share) * CALL_TIMEOUT_MS);
+        await this.delay((1 - delayFraction) * CALL_TIMEOUT_MS);
         return unanswered;
       case 'silent':
-        await this.pass(CALL_TIMEOUT_MS);
+        await this.delay(CALL_TIMEOUT_MS);
         return unanswered;
       case 'late':
-        this.pass(lateMs).then(execute);
-        await this.pass(share * CALL_TIMEOUT_MS);
+        this.delay(lateMs).then(execute);
+        await this.delay(delayFraction * CALL_TIMEOUT_MS);
         return unanswered;
       case 'seq':
-        await this.pass(share * SERVED_WITHIN_MS);
+        await this.delay(delayFraction * MAX_SERVICE_MS);
         return Err({ type: 'sequence', expected: 0 });
       case 'fenced':
-        await this.pass(share * SERVED_WITHIN_MS);
+        await this.delay(delayFraction * MAX_SERVICE_MS);
         return Err({ type: 'fenced' });
       default: {
-        const callMs = kind === 'slow' ? CALL_TIMEOUT_MS - 1 : SERVED_WITHIN_MS;
-        await this.pass((share * callMs) / 2);
+        const callMs = kind === 'slow' ? CALL_TIMEOUT_MS - 1 : MAX_SERVICE_MS;
+        await this.delay((delayFraction * callMs) / 2);
         const answer = execute();
-        await this.pass((share * callMs) / 2);
+        await this.delay((delayFraction * callMs) / 2);
         return answer;
       }
     }
--- a/packages/store/tests/followers.test.ts
+++ b/packages/store/tests/followers.test.ts
@@ -8,30 +8,31 @@
 
 const clock = newSystemClock();
 
-const until = async (isTrue: () => boolean): Promise<void> => {
+const waitUntil = async (isTrue: () => boolean): Promise<void> => {
   while (!isTrue()) await clock.sleepUntil(clock.now() + 5);
 };
 
-test('a view is caught up only once it holds all that was there when it was asked', async (t) => {
-  // Another host has just accepted a batch that this one has not read yet. Answering "no such batch"
-  // from the lagging view would make its trainer believe that the batch is lost.
+test('catchUp succeeds only after the view holds all records that existed when it was called', async (t) => {
+  // Another host has just accepted a batch that this host has not read yet. If this host answered
+  // "no such batch" from its lagging view, the trainer would consider the batch lost.
   const memory = newMemoryStore();
-  const seen: string[] = [];
+  const applied: string[] = [];
   const follower = newTopicFollower({
     clock,
     log: silentLog,
     store: memory.newView(),
     topic: 'batches',
     readPaceMs: () => 0,
-    apply: (records) => records.forEach(({ body }) => seen.push(body.toString())),
+    apply: (records) => records.forEach(({ body }) => applied.push(body.toString())),
   });
   memory.put('batches', [Buffer.from('a'), Buffer.from('b')]);
   t.true(await follower.catchUp(clock.now() + 1_000));
-  t.deepEqual(seen, ['a', 'b']);
+  t.deepEqual(applied, ['a', 'b']);
 });
 
-test('a view that can not reach the store is not caught up', async (t) => {
-  // The store turns this host away. It must say that it does not know, not that there is nothing.
+test('catchUp fails while the store refuses reads', async (t) => {
+  // The store refuses this host, which must report that its view is incomplete, not that it is
+  // empty.
   const faults = { ...newNoFaults(), isRefusing: true };
   const follower = newTopicFollower({
     clock,
@@ -44,10 +45,11 @@
   t.false(await follower.catchUp(clock.now() + 150));
 });
 
-test('a follower goes on where history now begins', async (t) => {
-  // The store drops old records while a host is away; asking for them again would never end.
+test('a follower continues at the oldest retained record', async (t) => {
+  // The store trims records that a host has not read yet; requesting them again would never
+  // succeed.
   const memory = newMemoryStore();
-  const seen: string[] = [];
+  const applied: string[] = [];
   memory.put(
     'batches',
     ['a', 'b', 'c'].map((text) => Buffer.from(text)),
@@ -59,15 +61,16 @@
     store: memory.newView(),
     topic: 'batches',
     readPaceMs: () => 0,
-    apply: (records) => records.forEach(({ body }) => seen.push(body.toString())),
+    apply: (records) => records.forEach(({ body }) => applied.push(body.toString())),
   });
   t.true(await follower.catchUp(clock.now() + 1_000));
-  t.deepEqual(seen, ['c']);
+  t.deepEqual(applied, ['c']);
 });
 
-test('a key that was dropped while history went is noticed', async (t) => {
-  // An engine leaves, and the record of it goes with the store's history before this host reads it.
-  // Only its absence from the newest records shows it; kept, it would get requests for ever.
+test('a key whose deletion record was trimmed is reported as dropped', async (t) => {
+  // An engine leaves, and the record that deletes its key is trimmed before this host reads it.
+  // Only the snapshot shows that the key was deleted; a host that missed it would send the engine
+  // requests forever.
   const memory = newMemoryStore();
   const known = new Map<string, string>();
   const stop = new AbortController();
@@ -84,29 +87,29 @@
   });
   memory.put('keyed.servers', [keyedBody('one', '1'), keyedBody('two', '2')]);
   const running = follower.run(stop.signal);
-  await until(() => known.size === 2);
+  await waitUntil(() => known.size === 2);
   memory.put('keyed.servers', [keyedBody('one', ''), keyedBody('three', '3')]);
-  // Both go before the follower can read them one by one.
+  // Both records are trimmed before the follower can read them.
   memory.trim('keyed.servers', 3);
-  await until(() => known.has('three') && !known.has('one') && !known.has('two'));
+  await waitUntil(() => known.has('three') && !known.has('one') && !known.has('two'));
   t.deepEqual([...known.keys()], ['three']);
   stop.abort();
   await running;
 });
 
-test('a view is read whole in smaller pages where full ones do not come', async (t) => {
-  // Seventy hosts start at once and read the same topic from its beginning. Pages of a mebibyte each
-  // take longer than a call waits, so each host asks for the same page for ever.
+test('a follower reads smaller pages when full pages time out', async (t) => {
+  // Seventy hosts start at once and read the same topic from its beginning. Pages of one mebibyte
+  // take longer than the timeout of a call, so each host would request the same page forever.
   const memory = newMemoryStore();
   const view = memory.newView();
-  const asked: number[] = [];
+  const requestedKb: number[] = [];
   const store = Object.assign(Object.create(view) as typeof view, {
     read: async (...args: Parameters<typeof view.read>) => {
-      const [topic, from, , , mostKb = 1_024] = args;
-      asked.push(mostKb);
-      if (mostKb > 512) return Err({ type: 'unknown' as const, reason: 'silent' });
+      const [topic, from, , , maxKb = 1_024] = args;
+      requestedKb.push(maxKb);
+      if (maxKb > 512) return Err({ type: 'unknown' as const, reason: 'silent' });
       const page = await view.read(topic, from, 0);
-      if (page.ok) page.val.records = page.val.records.slice(0, mostKb / 64);
+      if (page.ok) page.val.records = page.val.records.slice(0, maxKb / 64);
       return page;
     },
   });
@@ -127,12 +130,12 @@
   );
   t.true(await follower.catchUp(clock.now() + 5_000));
   t.is(count, 200);
-  t.true(Math.max(...asked) > 512, 'larger pages are tried');
+  t.true(Math.max(...requestedKb) > 512, 'larger pages are tried');
 });
 
-test('a view knows when its newest outage ended', async (t) => {
-  // The store was silent for all. Some hosts read again before others do, and must not take those
-  // others for the only ones that are cut off.
+test('a follower records when the newest outage ended', async (t) => {
+  // The store was unresponsive for all hosts. Hosts that recover first must not conclude that only
+  // the remaining ones are partitioned.
   const memory = newMemoryStore();
   const faults = newNoFaults();
   const follower = newTopicFollower({
@@ -148,7 +151,7 @@
   const first = follower.steadySince();
   await clock.sleepUntil(clock.now() + 300);
   t.true(await follower.catchUp(clock.now() + 1_000));
-  t.is(follower.steadySince(), first, 'a short pause is none');
+  t.is(follower.steadySince(), first, 'a short pause is not an outage');
   faults.isRefusing = true;
   await clock.sleepUntil(clock.now() + 1_300);
   faults.isRefusing = false;
--- a/packages/store/tests/newStoreWriter.test.ts
+++ b/packages/store/tests/newStoreWriter.test.ts
@@ -19,35 +19,35 @@
   return { clock, memory, faults, writer, texts };
 };
 
-test('an append whose answer was lost stands once, and its writer learns that it is written', async (t) => {
-  // The store does the append and its answer is lost on the way, so the host sends it again.
-  // Without care a batch would stand twice, and its items would run twice.
+test('an append whose answer was lost is stored once and reported as written', async (t) => {
+  // The store executes an append and its answer is lost, so the host retries it. If the retry were
+  // stored as well, a batch would exist twice and its items would run twice.
   const { clock, faults, writer, texts } = newParts();
-  faults.lostAnswers = 2;
+  faults.answersToLose = 2;
   const outcome = writer.write([Buffer.from('a')], clock.now() + 5_000);
   await clock.advance(2_000);
   t.is(await outcome, 'written');
   t.deepEqual(texts(), ['a']);
 });
 
-test('an append that lands seconds after it was repeated stands once', async (t) => {
-  // The first sending hangs somewhere on its way; the repetition is answered; then the first one
-  // arrives after all.
+test('an append that is executed seconds after its retry is stored once', async (t) => {
+  // The first attempt is delayed in the network and the retry is answered. Then the store receives
+  // the first attempt.
   const { clock, memory, faults, writer, texts } = newParts();
-  faults.lateAppends = 1;
+  faults.appendsToDelay = 1;
   const outcome = writer.write([Buffer.from('a')], clock.now() + 5_000);
   await clock.advance(1_000);
   t.is(await outcome, 'written');
   const second = writer.write([Buffer.from('b')], clock.now() + 5_000);
   await clock.advance(100);
   t.is(await second, 'written');
-  memory.landLate();
+  memory.executeDelayedAppends();
   t.deepEqual(texts(), ['a', 'b']);
 });
 
-test('what the store refused until its deadline is not written, then or later', async (t) => {
-  // The store turns this host away for seconds. The caller is told that its batch is not kept and
-  // sends it elsewhere; were it written later all the same, that answer would have been false.
+test('a write that the store refuses until its deadline is never written', async (t) => {
+  // The store refuses this host for seconds. The caller is told that its batch was not written and
+  // sends it to another host, so the batch must not be written here later.
   const { clock, faults, writer, texts } = newParts();
   faults.isRefusing = true;
   const outcome = writer.write([Buffer.from('a')], clock.now() + 900);
@@ -58,28 +58,28 @@
   t.deepEqual(texts(), []);
 });
 
-test('what may have landed is never called unwritten', async (t) => {
-  // The store goes silent with an append under way and stays so beyond the caller's patience. The
-  // append may be in the log, so the caller may not be told that it is not.
+test('a write that may have been appended is never reported as not written', async (t) => {
+  // The store becomes unresponsive during an append until after the caller's deadline. The append
+  // may be in the log, so the caller must not be told that it was not written.
   const { clock, memory, faults, writer, texts } = newParts();
-  faults.lateAppends = 1;
+  faults.appendsToDelay = 1;
   const outcome = writer.write([Buffer.from('a')], clock.now() + 900);
   await clock.advance(10);
   faults.isSilent = true;
   await clock.advance(1_500);
   t.is(await outcome, 'unknown');
-  memory.landLate();
+  memory.executeDelayedAppends();
   faults.isSilent = false;
   await clock.advance(2_000);
   t.deepEqual(texts(), ['a']);
 });
 
-/** Three writes in one group; the first is given up while the store refuses. */
-const giveUpFirstOfThree = async () => {
+/** Three writes in one group; the first one expires while the store refuses. */
+const expireFirstOfThree = async () => {
   const parts = newParts();
   const { clock, faults, writer } = parts;
-  const place = (text: string, lifeMs: number) =>
-    writer.place([Buffer.from(text)], clock.now() + lifeMs);
+  const place = (text: string, timeoutMs: number) =>
+    writer.place([Buffer.from(text)], clock.now() + timeoutMs);
   place('opening', 20_000);
   faults.isRefusing = true;
   const writes = [place('a', 500), place('b', 20_000), place('c', 20_000)];
@@ -88,10 +88,11 @@
   return { ...parts, writes };
 };
 
-test('a place is right though a write beside it was given up before the answer was lost', async (t) => {
-  // The repetition held one record more: each place was one too high, and showed another text or none.
-  const { clock, faults, texts, writes } = await giveUpFirstOfThree();
-  faults.lostAnswers = 1;
+test('an offset is correct although a write of its group expired before the answer was lost', async (t) => {
+  // The retry held one record more than the stored append. Each offset was one too high, so readers
+  // got another text or none.
+  const { clock, faults, texts, writes } = await expireFirstOfThree();
+  faults.answersToLose = 1;
   await clock.advance(2_000);
   t.deepEqual(texts(), ['opening', 'b', 'c']);
   t.deepEqual(await Promise.all(writes), [
@@ -101,19 +102,20 @@
   ]);
 });
 
-test('a write that was given up does not land with the repetition of those beside it', async (t) => {
-  // Its caller was told that nothing runs and sent it elsewhere; it stood and ran after all.
-  const { clock, memory, faults, texts, writes } = await giveUpFirstOfThree();
-  faults.lateAppends = 1;
+test('an expired write is not appended when the rest of its group is retried', async (t) => {
+  // The caller of the expired write was told that nothing runs and sent it to another host. The
+  // retry still contained the write, so it was stored and ran as well.
+  const { clock, memory, faults, texts, writes } = await expireFirstOfThree();
+  faults.appendsToDelay = 1;
   await clock.advance(2_000);
-  memory.landLate();
+  memory.executeDelayedAppends();
   const outcomes = (await Promise.all(writes)).map(({ outcome }) => outcome);
   t.deepEqual(outcomes, ['not-written', 'written', 'written']);
   t.deepEqual(texts(), ['opening', 'b', 'c']);
 });
 
-test('after an uncertain append the next one still follows in order', async (t) => {
-  // A write that waits behind an uncertain one must not be lost or go first.
+test('a write queued behind an uncertain append is written after it', async (t) => {
+  // A write that is queued behind an uncertain append must not be lost or overtake it.
   const { clock, faults, writer, texts } = newParts();
   faults.isSilent = true;
   const first = writer.write([Buffer.from('a')], clock.now() + 500);
--- a/packages/store/tests/newTrimmer.test.ts
+++ b/packages/store/tests/newTrimmer.test.ts
@@ -4,7 +4,7 @@
 import newTrimmer from '../src/newTrimmer.js';
 import silentLog from './silentLog.js';
 
-test('only records that have outlived their use are deleted', async (t) => {
+test('only records older than the retention period are deleted', async (t) => {
   const clock = newManualClock();
   const memory = newMemoryStore();
   const store = memory.newView();
--- a/packages/store/tests/silentLog.ts
+++ b/packages/store/tests/silentLog.ts
@@ -1,6 +1,6 @@
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 
-/** A log that nobody reads. */
+/** An event log that discards all events. */
 const silentLog: EventLog = { info: () => {}, warn: () => {}, error: () => {} };
 
 export default silentLog;
