--- a/packages/coordination/src/addUsage.ts
+++ b/packages/coordination/src/addUsage.ts
@@ -1,6 +1,6 @@
 import type { UsageFigure } from '@cyclamengate/platform/usageReport';
 
-/** Adds figures to a table by customer, in place. */
+/** Adds usage figures by customer to a table, in place. */
 const addUsage = (
   table: Record<string, UsageFigure>,
   added: Readonly<Record<string, UsageFigure>>,
--- a/packages/coordination/src/applyCall.ts
+++ b/packages/coordination/src/applyCall.ts
@@ -3,45 +3,45 @@
 import type { CallClaim, CallOutcome } from './callRecords.js';
 import type { CallStates } from './callState.js';
 
-/** An idempotency key is remembered this long, by the log's clock. */
-const CALL_KEPT_MS = 86_400_000;
+/** How long an idempotency key is retained, by the log's clock. */
+const CALL_RETENTION_MS = 86_400_000;
 
-/** How a customer's idempotency key is filed. */
-export const callName = (customer: string, idempotencyKey: string): string =>
+/** The key of a call in the state: idempotency keys are unique per customer. */
+export const callKey = (customer: string, idempotencyKey: string): string =>
   `${customer}/${idempotencyKey}`;
 
-/** Forgets keys past their time. */
-export const forgetCalls = (calls: CallStates, time: number): void =>
-  Object.entries(calls).forEach(([name, { at }]) => {
-    if (at < time - CALL_KEPT_MS) delete calls[name];
+/** Evicts calls that are older than the retention period. */
+export const evictCalls = (calls: CallStates, time: number): void =>
+  Object.entries(calls).forEach(([key, { at }]) => {
+    if (at < time - CALL_RETENTION_MS) delete calls[key];
   });
 
 /**
- * Gives the right to run a call to the first claim in the log. The caller may send the same call to
- * two hosts at once, or again after a lost answer: every later claim is refused at every reader.
+ * Grants the right to run a call to the first claim in the log. A caller may send the same call to
+ * two hosts at once, or retry it after a lost answer; every reader rejects all later claims.
  */
 export const applyCallClaim = (calls: CallStates, time: number, claim: CallClaim): Decision => {
-  const name = callName(claim.customer, claim.idempotencyKey);
-  const standing = calls[name];
-  if (standing && standing.attempt !== claim.attempt) {
-    return rejected(`claimed already; outcome ${standing.outcome}`);
+  const key = callKey(claim.customer, claim.idempotencyKey);
+  const current = calls[key];
+  if (current && current.attempt !== claim.attempt) {
+    return rejected(`claimed already; outcome ${current.outcome}`);
   }
-  calls[name] = {
+  calls[key] = {
     attempt: claim.attempt,
     requestDigest: claim.requestDigest,
-    outcome: standing?.outcome ?? 'claimed',
+    outcome: current?.outcome ?? 'claimed',
     at: time,
   };
   return ACCEPTED;
 };
 
-/** Ends a claim. One whose call never left the host is free to be claimed again. */
+/** Ends a claim. If the call was never sent, it can be claimed again. */
 export const applyCallOutcome = (calls: CallStates, outcome: CallOutcome): Decision => {
-  const name = callName(outcome.customer, outcome.idempotencyKey);
-  const standing = calls[name];
-  if (standing?.attempt !== outcome.attempt) return rejected('claimed by another attempt');
-  if (standing.outcome !== 'claimed') return rejected(`ended already as ${standing.outcome}`);
-  if (outcome.outcome === 'not-run') delete calls[name];
-  else standing.outcome = outcome.outcome;
+  const key = callKey(outcome.customer, outcome.idempotencyKey);
+  const current = calls[key];
+  if (current?.attempt !== outcome.attempt) return rejected('claimed by another attempt');
+  if (current.outcome !== 'claimed') return rejected(`ended already as ${current.outcome}`);
+  if (outcome.outcome === 'not-run') delete calls[key];
+  else current.outcome = outcome.outcome;
   return ACCEPTED;
 };
--- a/packages/coordination/src/applySample.ts
+++ b/packages/coordination/src/applySample.ts
@@ -11,11 +11,11 @@
 } from './sampleRecords.js';
 import type { StepState, TrainerState } from './trainerState.js';
 
-const STEPS_KEPT = 8;
+const MAX_STEPS = 8;
 
 type Trainers = Record<string, TrainerState>;
 
-const trainerOf = (trainers: Trainers, id: string): TrainerState => {
+const getOrCreateTrainer = (trainers: Trainers, id: string): TrainerState => {
   trainers[id] ??= { version: 0, steps: {} };
   return trainers[id];
 };
@@ -27,34 +27,35 @@
   return found ? found.stalenessBoundVersions : null;
 };
 
-/** Takes a version into force; versions only grow. */
+/** Sets the trainer's current version, which never decreases. */
 export const applyWeightsPublished = (
   trainers: Trainers,
   published: WeightsPublished,
 ): Decision => {
-  const trainer = trainerOf(trainers, published.trainer);
-  if (published.version <= trainer.version) return rejected(`version ${trainer.version} is out`);
+  const trainer = getOrCreateTrainer(trainers, published.trainer);
+  if (published.version <= trainer.version)
+    return rejected(`version ${trainer.version} is already published`);
   trainer.version = published.version;
   return ACCEPTED;
 };
 
-const forgetSteps = (trainer: TrainerState): void => {
+const evictSteps = (trainer: TrainerState): void => {
   const steps = Object.keys(trainer.steps).sort((left, right) => Number(left) - Number(right));
-  steps.slice(0, Math.max(0, steps.length - STEPS_KEPT)).forEach((step) => {
+  steps.slice(0, Math.max(0, steps.length - MAX_STEPS)).forEach((step) => {
     delete trainer.steps[step];
   });
 };
 
-/** Fixes a step's slots. Opening it again with the same shape changes nothing. */
+/** Creates a step's slots. Opening it again with the same groups and group size has no effect. */
 export const applyStepOpened = (trainers: Trainers, opened: StepOpened): Decision => {
-  const trainer = trainerOf(trainers, opened.trainer);
-  const standing = trainer.steps[opened.step];
-  if (standing) {
-    const isSame = standing.groups === opened.groups && standing.groupSize === opened.groupSize;
-    return isSame ? ACCEPTED : rejected('the step is open with another shape');
+  const trainer = getOrCreateTrainer(trainers, opened.trainer);
+  const existing = trainer.steps[opened.step];
+  if (existing) {
+    const isSame = existing.groups === opened.groups && existing.groupSize === opened.groupSize;
+    return isSame ? ACCEPTED : rejected('the step is already open with different groups');
   }
   const newest = Math.max(-1, ...Object.keys(trainer.steps).map(Number));
-  if (opened.step < newest - STEPS_KEPT) return rejected('the step is long over');
+  if (opened.step < newest - MAX_STEPS) return rejected('the step is too old');
   trainer.steps[opened.step] = {
     groups: opened.groups,
     groupSize: opened.groupSize,
@@ -65,29 +66,30 @@
     delivery: [],
     offered: 0,
   };
-  forgetSteps(trainer);
+  evictSteps(trainer);
   return ACCEPTED;
 };
 
-const stepOf = (trainers: Trainers, id: string, step: number): StepState | undefined =>
+const findStep = (trainers: Trainers, id: string, step: number): StepState | undefined =>
   trainers[id]?.steps[step];
 
 /**
- * Binds a slot to a sample. Copies of a straggler may finish together on several hosts: the first
- * binding in the log wins, the others are thrown away, so the trainer can never get both.
+ * Binds a sample to a slot. Copies of a slow sample may finish on several hosts at the same time;
+ * the first binding in the log wins and the others are rejected, so the trainer never gets two of
+ * them.
  */
 export const applySampleBound = (
   trainers: Trainers,
   settings: SettingsTree,
   bound: SampleBound,
 ): Decision => {
-  const step = stepOf(trainers, bound.trainer, bound.step);
+  const step = findStep(trainers, bound.trainer, bound.step);
   const slot = step?.slots[bound.slot];
-  if (!step || !slot) return rejected('there is no such slot');
-  if (slot.attempt !== bound.attempt) return rejected('the slot was released since');
+  if (!step || !slot) return rejected('the slot does not exist');
+  if (slot.attempt !== bound.attempt) return rejected('the slot was released in the meantime');
   if (slot.sample) return rejected('the slot is bound already');
   const limit = stalenessBound(settings, bound.trainer);
-  const { version } = trainerOf(trainers, bound.trainer);
+  const { version } = getOrCreateTrainer(trainers, bound.trainer);
   if (limit === null) return rejected('the trainer is not in the settings');
   if (!isFresh(bound.segments, version, limit)) return rejected('the sample is too old');
   slot.sample = { digest: bound.digest, holders: bound.holders, segments: bound.segments };
@@ -95,12 +97,12 @@
   return ACCEPTED;
 };
 
-/** Frees a slot for a new sample; refused once its sample may have reached the trainer. */
+/** Releases a slot for a new sample; rejected once its sample may have been sent to the trainer. */
 export const applySlotReleased = (trainers: Trainers, released: SlotReleased): Decision => {
-  const step = stepOf(trainers, released.trainer, released.step);
+  const step = findStep(trainers, released.trainer, released.step);
   const slot = step?.slots[released.slot];
   if (!step || !slot?.sample) return rejected('the slot is not bound');
-  if (slot.attempt !== released.attempt) return rejected('the slot was released since');
+  if (slot.attempt !== released.attempt) return rejected('the slot was released in the meantime');
   const position = step.delivery.indexOf(released.slot);
   if (position < step.offered) return rejected('the sample was offered to the trainer');
   step.delivery.splice(position, 1);
@@ -110,29 +112,30 @@
 };
 
 /**
- * Fixes the positions that are about to leave for the trainer.
+ * Fixes the positions that are about to be sent to the trainer.
  *
- * A host with an old view could hand out a sample that was released and made anew elsewhere, and
- * the trainer would get both. So nothing leaves before this record is accepted, it names what is
- * to leave, and freshness is judged here once more, at a point in the log that all agree on.
+ * A host with an old state could send a sample that was released and generated again elsewhere, and
+ * the trainer would get both. So samples are only sent after this record is accepted. It names
+ * their digests, and their staleness is checked again here, at the same log offset on all hosts.
  */
 export const applySamplesOffered = (
   trainers: Trainers,
   settings: SettingsTree,
   offered: SamplesOffered,
 ): Decision => {
-  const step = stepOf(trainers, offered.trainer, offered.step);
-  if (!step) return rejected('there is no such step');
-  if (offered.through <= step.offered) return rejected('offered already');
+  const step = findStep(trainers, offered.trainer, offered.step);
+  if (!step) return rejected('the step does not exist');
+  if (offered.through <= step.offered) return rejected('the samples were already offered');
   const samples = step.delivery
     .slice(step.offered, offered.through)
     .map((slot) => step.slots[slot]?.sample ?? null);
-  const standing = samples.map((sample) => sample?.digest).join();
-  if (standing !== offered.digests.join()) return rejected('the positions have moved');
+  const currentDigests = samples.map((sample) => sample?.digest).join();
+  if (currentDigests !== offered.digests.join())
+    return rejected('the positions hold other samples');
   const limit = stalenessBound(settings, offered.trainer) ?? 0;
-  const { version } = trainerOf(trainers, offered.trainer);
+  const { version } = getOrCreateTrainer(trainers, offered.trainer);
   const isAllFresh = samples.every((sample) => sample && isFresh(sample.segments, version, limit));
-  if (!isAllFresh) return rejected('a sample has grown too old');
+  if (!isAllFresh) return rejected('a sample is too old');
   step.offered = offered.through;
   return ACCEPTED;
 };
--- a/packages/coordination/src/applyUsage.ts
+++ b/packages/coordination/src/applyUsage.ts
@@ -6,22 +6,23 @@
 import type { UsageClose, UsageDelta, UsageReported } from './usageRecords.js';
 import type { UsageState } from './usageState.js';
 
-const REPORTED_WINDOWS_KEPT = 64;
-/** A host that has written nothing for so long is gone; its sequence number is forgotten. */
-const HOST_KEPT_MS = 86_400_000;
+const MAX_REPORTED_WINDOWS = 64;
+/** The sequence number of a host is evicted after the host has written nothing for this long. */
+const HOST_RETENTION_MS = 86_400_000;
 
-const forgetHosts = (usage: UsageState, time: number): void =>
+const evictHosts = (usage: UsageState, time: number): void =>
   Object.entries(usage.hosts).forEach(([host, { at }]) => {
-    if (at < time - HOST_KEPT_MS) delete usage.hosts[host];
+    if (at < time - HOST_RETENTION_MS) delete usage.hosts[host];
   });
 
 /**
- * Counts a host's sealed delta once. The host and the peer that keeps its copy may both write it,
- * and answers of the log get lost: the sequence number tells a repetition from new usage.
+ * Counts a host's sealed delta once. Both the host and the peer that stores a copy may write it,
+ * and retry after a lost answer; the sequence number distinguishes a duplicate from new usage.
  */
 export const applyUsageDelta = (usage: UsageState, time: number, delta: UsageDelta): Decision => {
-  const counted = usage.hosts[delta.host]?.sequence ?? -1;
-  if (delta.sequence <= counted) return rejected(`sequence ${delta.sequence} is counted already`);
+  const lastSequence = usage.hosts[delta.host]?.sequence ?? -1;
+  if (delta.sequence <= lastSequence)
+    return rejected(`sequence ${delta.sequence} is counted already`);
   usage.hosts[delta.host] = { sequence: delta.sequence, at: time };
   Object.entries(delta.windows).forEach(([window, figures]) => {
     if (Number(window) <= usage.closedThrough) {
@@ -42,22 +43,22 @@
   const lease = leases[REPORTS_LEASE];
   if (!lease?.holder || lease.fence !== close.fence) return 'written under a lease that has ended';
   if (close.window <= usage.closedThrough) return 'the window is closed already';
-  const earlier = Object.keys(usage.open).some((window) => Number(window) < close.window);
-  return earlier ? 'an earlier window is still open' : null;
+  const hasEarlierOpen = Object.keys(usage.open).some((window) => Number(window) < close.window);
+  return hasEarlierOpen ? 'an earlier window is still open' : null;
 };
 
-const forgetReported = (usage: UsageState): void => {
+const evictReported = (usage: UsageState): void => {
   const reported = Object.keys(usage.closed)
     .filter((window) => usage.closed[window]?.reported)
     .sort((left, right) => Number(left) - Number(right));
   reported
-    .slice(0, Math.max(0, reported.length - REPORTED_WINDOWS_KEPT))
+    .slice(0, Math.max(0, reported.length - MAX_REPORTED_WINDOWS))
     .forEach((window) => delete usage.closed[window]);
 };
 
 /**
- * Fixes a window's figures as they stand at this offset. They are worked out here and not by the
- * writer, so a second reporter, or the same one after a lost answer, can only send these.
+ * Fixes a window's figures at this offset. They are computed here and not by the writer, so a
+ * second reporter, or the same one after a lost answer, reports the same figures.
  */
 export const applyUsageClose = (
   usage: UsageState,
@@ -73,12 +74,12 @@
   usage.late = {};
   usage.closed[close.window] = { fence: close.fence, figures, reported: false };
   usage.closedThrough = close.window;
-  forgetReported(usage);
-  forgetHosts(usage, time);
+  evictReported(usage);
+  evictHosts(usage, time);
   return ACCEPTED;
 };
 
-/** Notes that the platform has taken a window's report. */
+/** Records that the platform has accepted a window's report. */
 export const applyUsageReported = (usage: UsageState, reported: UsageReported): Decision => {
   const closed = usage.closed[reported.window];
   if (!closed) return rejected('the window is not closed');
--- a/packages/coordination/src/auditEntry.ts
+++ b/packages/coordination/src/auditEntry.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** One line of the audit trail: who did what when, on what basis, and what came of it. */
+/** An entry of the audit trail: an action with its author, time, basis and outcome. */
 export const auditEntrySchema = z.object({
   offset: z.int(),
   at: z.number(),
--- a/packages/coordination/src/auditNote.ts
+++ b/packages/coordination/src/auditNote.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** Something done outside the log that the audit trail must show, e.g. an order to the platform. */
+/** An action outside the log that the audit trail must list, such as an order to the platform. */
 export const auditNoteSchema = z.object({
   type: z.literal('audit-note'),
   subject: z.string(),
--- a/packages/coordination/src/callRecords.ts
+++ b/packages/coordination/src/callRecords.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** The right to run a call that may not be repeated. The first claim of a key wins. */
+/** Claims the right to run a call that must not be repeated. The first claim of a key wins. */
 export const callClaimSchema = z.object({
   type: z.literal('call-claim'),
   customer: z.string(),
@@ -11,7 +11,7 @@
 
 export type CallClaim = z.infer<typeof callClaimSchema>;
 
-/** Ends a claim: the call was never sent (and may be claimed anew), or it was and this came of it. */
+/** Ends a claim with the outcome of the call; after `not-run` the call can be claimed again. */
 export const callOutcomeSchema = z.object({
   type: z.literal('call-outcome'),
   customer: z.string(),
--- a/packages/coordination/src/callState.ts
+++ b/packages/coordination/src/callState.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** Calls that may not be repeated, by customer and idempotency key. */
+/** The state of a call that must not be repeated, identified by customer and idempotency key. */
 export const callStateSchema = z.object({
   attempt: z.string(),
   requestDigest: z.string(),
--- a/packages/coordination/src/checkpointRecord.ts
+++ b/packages/coordination/src/checkpointRecord.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** The whole state up to and including an offset, so that older records may be lost. */
+/** The complete state up to and including an offset, which makes older records unnecessary. */
 export const checkpointRecordSchema = z.object({
   type: z.literal('checkpoint'),
   covers: z.int(),
--- a/packages/coordination/src/chooseSources.ts
+++ b/packages/coordination/src/chooseSources.ts
@@ -1,12 +1,12 @@
 import rendezvousRank from '@cyclamengate/common/rendezvousRank';
 import type { Member } from './member.js';
 
-/** Members of a failure domain that read the log itself. */
+/** Number of members of a failure domain that read from the log itself. */
 const ROOTS_PER_DOMAIN = 2;
-/** Members that read from one relaying member. */
+/** Number of members that read from one relay. */
 const READERS_PER_RELAY = 8;
 
-/** A place to read from: a member, or null for the log itself. */
+/** A source to read from: a member, or null for the log itself. */
 export type SourceChoice = Member | null;
 
 const parentRank = (rank: number): number =>
@@ -15,23 +15,24 @@
     : Math.floor((rank - ROOTS_PER_DOMAIN) / READERS_PER_RELAY);
 
 /**
- * Where a host reads records, first choice first.
+ * Chooses the sources from which a host reads records, in order of preference.
  *
- * Hundreds of hosts that each ask the log would be more load than all of its appends. So in each
- * failure domain two members read the log and the others form a shallow tree behind them; every
- * host works the tree out alone from the members it knows. Differing views cost only a longer way.
- * Behind the tree's place come the log itself and then all other peers, furthest ahead first, so a
- * domain that is cut off from the platform still gets the log's records from whoever has them.
+ * If hundreds of hosts each read from the log, their load would exceed that of all appends. So in
+ * each failure domain two members read from the log and the others form a shallow tree below them.
+ * Every host computes the tree from the members that it knows; different views only lengthen the
+ * path. After its parent in the tree a host falls back to the log itself, and then to all other
+ * peers by descending offset, so a domain that is partitioned from the platform can still get the
+ * records.
  */
 const chooseSources = (self: Member, others: readonly Member[]): SourceChoice[] => {
   const neighbours = others.filter(({ failureDomain }) => failureDomain === self.failureDomain);
   const byId = new Map([self, ...neighbours].map((member) => [member.id, member]));
   const order = rendezvousRank(`relay ${self.failureDomain}`, [...byId.keys()]);
   const rank = order.indexOf(self.id);
-  const ahead = [...others].sort((left, right) => right.offset - left.offset);
-  if (rank < ROOTS_PER_DOMAIN) return [null, ...ahead];
+  const byOffset = [...others].sort((left, right) => right.offset - left.offset);
+  if (rank < ROOTS_PER_DOMAIN) return [null, ...byOffset];
   const parent = byId.get(order[parentRank(rank)] ?? '') ?? null;
-  return [parent, null, ...ahead.filter((member) => member !== parent)];
+  return [parent, null, ...byOffset.filter((member) => member !== parent)];
 };
 
 export default chooseSources;
--- a/packages/coordination/src/findCheckpoint.ts
+++ b/packages/coordination/src/findCheckpoint.ts
@@ -6,7 +6,7 @@
 import { systemStateSchema } from './systemState.js';
 import type { SystemState } from './systemState.js';
 
-/** The state in a checkpoint record, or null when the record is something else. */
+/** Extracts the state from a checkpoint record; null for any other record. */
 const findCheckpoint = ({ body }: LogRecord): SystemState | null => {
   if (!body.includes('"checkpoint"')) return null;
   const raw = parseJson(body);
--- a/packages/coordination/src/followLog.ts
+++ b/packages/coordination/src/followLog.ts
@@ -3,77 +3,77 @@
 import type { Follower } from './newFollower.js';
 import type RecordSource from './RecordSource.js';
 
-/** A source that failed or fell behind is left alone for this long. */
-const AVOID_MS = 3_000;
-/** A source may show nothing new for this long while other members are known to be ahead. */
-const STALL_MS = 1_500;
+/** How long a source is not used after it failed or fell behind. */
+const SOURCE_AVOIDANCE_MS = 3_000;
+/** How long a source may return no new records while other members are known to be ahead. */
+const MAX_STALL_MS = 1_500;
 
 export interface FollowOptions {
   clock: Clock;
   follower: Follower;
-  /** Sources in the order in which they should be tried; read anew before each page. */
+  /** Sources in the order in which to try them; evaluated before each page. */
   sources: () => RecordSource[];
-  /** The highest offset any live member has reported. */
-  highestKnown: () => number;
+  /** The highest offset that any live member has reported. */
+  highestKnownOffset: () => number;
 }
 
 /**
- * Follows the log for as long as the process lives.
+ * Follows the log until the signal aborts.
  *
- * A peer that relays records may die, or worse, stay up while its own source is stuck: its readers
- * would then get empty pages for ever and keep serving withdrawn keys. The reader notices that other
- * members report a higher offset than this source shows, and moves to the next one.
+ * A peer that relays records may fail, or may keep answering while its own source is stuck. Its
+ * readers would then get empty pages indefinitely and continue to serve withdrawn keys. So a reader
+ * that learns of members at a higher offset than its source returns switches to the next source.
  */
 const followLog = async (options: FollowOptions, signal: AbortSignal): Promise<void> => {
-  const { clock, follower, sources, highestKnown } = options;
+  const { clock, follower, sources, highestKnownOffset } = options;
   const avoidUntil = new Map<string, number>();
   let failures = 0;
   let behindSince: number | null = null;
 
-  const choose = (): RecordSource | undefined => {
+  const chooseSource = (): RecordSource | undefined => {
     const all = sources();
     const now = clock.now();
     return all.find(({ name }) => (avoidUntil.get(name) ?? -Infinity) <= now) ?? all[0];
   };
 
   const avoid = (source: RecordSource): void => {
-    avoidUntil.set(source.name, clock.now() + AVOID_MS);
+    avoidUntil.set(source.name, clock.now() + SOURCE_AVOIDANCE_MS);
   };
 
-  const watchStall = (source: RecordSource): void => {
-    if (highestKnown() <= follower.state().offset) {
+  const avoidIfStalled = (source: RecordSource): void => {
+    if (highestKnownOffset() <= follower.state().offset) {
       behindSince = null;
       return;
     }
     behindSince ??= clock.now();
-    if (clock.now() < behindSince + STALL_MS) return;
+    if (clock.now() < behindSince + MAX_STALL_MS) return;
     behindSince = null;
     avoid(source);
   };
 
-  const takePage = async (source: RecordSource): Promise<boolean> => {
+  const readPage = async (source: RecordSource): Promise<boolean> => {
     const before = follower.next();
     const page = await source.read(before, signal);
     if (!page.ok) return false;
     follower.ingest(page.val);
-    const isBehind = follower.isBridging() || page.val.first > follower.next();
-    const state = isBehind ? await source.snapshot(signal) : null;
+    const needsSnapshot = follower.isBridging() || page.val.first > follower.next();
+    const state = needsSnapshot ? await source.snapshot(signal) : null;
     if (state) follower.load(state);
-    if (follower.next() === before) watchStall(source);
+    if (follower.next() === before) avoidIfStalled(source);
     else behindSince = null;
     return true;
   };
 
   while (!signal.aborted) {
-    const source = choose();
-    const isRead = source ? await takePage(source) : false;
+    const source = chooseSource();
+    const isRead = source ? await readPage(source) : false;
     if (isRead) {
       failures = 0;
     } else if (!signal.aborted) {
       if (source) avoid(source);
       failures += 1;
-      const isAllTried = failures >= sources().length;
-      if (isAllTried) await clock.sleepUntil(backoff(clock.now(), failures), signal);
+      const haveAllFailed = failures >= sources().length;
+      if (haveAllFailed) await clock.sleepUntil(backoff(clock.now(), failures), signal);
     }
   }
 };
--- a/packages/coordination/src/isFresh.ts
+++ b/packages/coordination/src/isFresh.ts
@@ -1,9 +1,9 @@
 import type { VersionSegment } from './sampleRecords.js';
 
 /**
- * Whether no part of a sample is older than the bound allows.
+ * Whether all segments of a sample are within the staleness bound.
  * @param newest the trainer's newest published version
- * @param bound how many versions behind it a sample may be
+ * @param bound maximum number of versions that a segment may be behind
  */
 const isFresh = (segments: readonly VersionSegment[], newest: number, bound: number): boolean =>
   segments.every(({ version }) => version >= newest - bound);
--- a/packages/coordination/src/leaseNames.ts
+++ b/packages/coordination/src/leaseNames.ts
@@ -1,8 +1,8 @@
-/** The lease under which usage windows are closed and reported. */
+/** The holder of this lease closes and reports usage windows. */
 export const REPORTS_LEASE = 'reports';
 
-/** The lease under which checkpoints are written. */
+/** The holder of this lease writes checkpoints. */
 export const CHECKPOINT_LEASE = 'checkpoint';
 
-/** The lease under which the upstreams of one failure domain are ordered and loaded with weights. */
+/** The holder of this lease orders the upstreams of a failure domain and loads their weights. */
 export const ordersLease = (failureDomain: string): string => `orders-${failureDomain}`;
--- a/packages/coordination/src/leaseRecords.ts
+++ b/packages/coordination/src/leaseRecords.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** Takes or renews a lease. `basedOn` is the offset of the record that last moved it. */
+/** Claims or renews a lease. `basedOn` is the offset of the last record that changed the lease. */
 export const leaseClaimSchema = z.object({
   type: z.literal('lease-claim'),
   lease: z.string(),
@@ -10,7 +10,7 @@
 
 export type LeaseClaim = z.infer<typeof leaseClaimSchema>;
 
-/** Gives a lease back before its term ends. */
+/** Releases a lease before its term ends. */
 export const leaseReleaseSchema = z.object({
   type: z.literal('lease-release'),
   lease: z.string(),
--- a/packages/coordination/src/member.ts
+++ b/packages/coordination/src/member.ts
@@ -2,7 +2,7 @@
 
 export const memberRoleSchema = z.enum(['entry', 'rollout', 'control']);
 
-/** What one process tells the others about itself. */
+/** The state that a process publishes to its peers. */
 export const memberSchema = z.object({
   id: z.string(),
   /** Unique to this run of the process. */
@@ -10,16 +10,16 @@
   role: memberRoleSchema,
   failureDomain: z.string(),
   peerUrl: z.string(),
-  /** Where callers or trainers reach it. */
+  /** URL for callers or trainers. */
   url: z.string(),
-  /** Grows with every beat. */
+  /** Increases with every heartbeat. */
   heartbeat: z.int(),
-  /** The log offset in force on it. */
+  /** The log offset up to which the process has applied records. */
   offset: z.int(),
   isLeaving: z.boolean(),
-  /** Running requests by customer. */
+  /** Number of running requests by customer. */
   inFlight: z.record(z.string(), z.int()),
-  /** Requests that want a slot, running and waiting, by service. */
+  /** Number of running and queued requests that need a slot, by service. */
   demand: z.record(z.string(), z.int()),
 });
 
--- a/packages/coordination/src/newAuditEntry.ts
+++ b/packages/coordination/src/newAuditEntry.ts
@@ -4,12 +4,12 @@
 import type { AuditEntry } from './auditEntry.js';
 import type { Envelope, SystemRecord } from './systemRecord.js';
 
-interface Line {
+interface AuditDetails {
   subject: string;
   basis: string;
 }
 
-const lineOf = (record: SystemRecord): Line | null => {
+const auditDetails = (record: SystemRecord): AuditDetails | null => {
   switch (record.type) {
     case 'settings-change':
       return {
@@ -32,20 +32,20 @@
   }
 };
 
-/** The audit trail's line for a record, or null for traffic that is not administration. */
-const auditEntryOf = (
+/** Builds the audit entry of a record; null for records that are not administrative. */
+const newAuditEntry = (
   { offset, at }: LogRecord,
   { writer }: Envelope,
   record: SystemRecord,
   { accepted, reason }: Decision,
 ): AuditEntry | null => {
-  const line = lineOf(record);
-  // A holder renews every few seconds; the trail tells of the lease's moves.
+  const details = auditDetails(record);
+  // A holder renews every few seconds; the audit trail only lists changes of the holder.
   const isRenewal = record.type === 'lease-claim' && reason === RENEWED.reason;
-  if (!line || isRenewal) return null;
-  const who = record.type === 'settings-change' ? record.operator : writer;
+  if (!details || isRenewal) return null;
+  const author = record.type === 'settings-change' ? record.operator : writer;
   const action = record.type === 'audit-note' ? record.action : record.type;
-  return { offset, at, writer: who, action, ...line, accepted, reason };
+  return { offset, at, writer: author, action, ...details, accepted, reason };
 };
 
-export default auditEntryOf;
+export default newAuditEntry;
--- a/packages/coordination/src/newDaemon.ts
+++ b/packages/coordination/src/newDaemon.ts
@@ -19,10 +19,10 @@
 
 const LOG_LEVELS = { debug: 2, info: 3, warn: 4, error: 5 };
 const HEADERS_TIMEOUT_MS = 10_000;
-/** The balancer reads readiness every second or so; work is taken until it must have noticed. */
-export const NOTICE_MS = 1_500;
+/** The balancer polls readiness about every second; work is accepted until it must have noticed. */
+export const BALANCER_DETECTION_MS = 1_500;
 
-/** What every daemon starts from. */
+/** The common parts of every daemon. */
 export interface Daemon {
   clock: Clock;
   log: Log;
@@ -32,20 +32,20 @@
   settings: HostSettings;
   app: Polka;
   start: () => Promise<void>;
-  /** Not ready any more; returns when the balancer must have noticed. */
+  /** Makes the readiness probe fail; resolves when the balancer must have noticed. */
   announceLeaving: () => Promise<void>;
-  /** Closes everything that is left. */
+  /** Stops all tasks and closes the servers and their connections. */
   stop: () => Promise<void>;
 }
 
-type PeerDuties = Pick<RuntimeOptions, 'keepUsage' | 'keepPayload' | 'readPayload'>;
+type PeerHandlers = Pick<RuntimeOptions, 'keepUsage' | 'keepPayload' | 'readPayload'>;
 
-/** Puts together a daemon's logs, metrics, tasks, shared state and HTTP server. */
+/** Creates a daemon's logger, metrics, tasks, shared state and HTTP server. */
 const newDaemon = (
   program: string,
   role: MemberRole,
   settings: HostSettings,
-  peerDuties: PeerDuties = {},
+  peerHandlers: PeerHandlers = {},
 ): Daemon => {
   const clock = newSystemClock();
   const log = newLogger(program, LOG_LEVELS[settings.logLevel]);
@@ -63,7 +63,7 @@
     settings,
     role,
     platformLog,
-    ...peerDuties,
+    ...peerHandlers,
   });
   const onFault = (error: unknown): void => {
     log.error({ event: 'handler-failed', error: String((error as Error).stack ?? error) });
@@ -120,7 +120,7 @@
   const announceLeaving = async (): Promise<void> => {
     log.info({ event: 'draining' });
     runtime.self.isLeaving = true;
-    await clock.sleepUntil(clock.now() + NOTICE_MS);
+    await clock.sleepUntil(clock.now() + BALANCER_DETECTION_MS);
   };
 
   const stop = async (): Promise<void> => {
--- a/packages/coordination/src/newFold.ts
+++ b/packages/coordination/src/newFold.ts
@@ -6,7 +6,7 @@
 import applySettingsChange from '@cyclamengate/settings/applySettingsChange';
 import { ACCEPTED, rejected } from '@cyclamengate/settings/decision';
 import type { Decision } from '@cyclamengate/settings/decision';
-import { applyCallClaim, applyCallOutcome, forgetCalls } from './applyCall.js';
+import { applyCallClaim, applyCallOutcome, evictCalls } from './applyCall.js';
 import { applyLeaseClaim, applyLeaseRelease } from './applyLease.js';
 import {
   applySampleBound,
@@ -17,17 +17,17 @@
 } from './applySample.js';
 import { applyUsageClose, applyUsageDelta, applyUsageReported } from './applyUsage.js';
 import type { AuditEntry } from './auditEntry.js';
-import auditEntryOf from './auditEntryOf.js';
+import newAuditEntry from './newAuditEntry.js';
 import { envelopeSchema, RECORD_VERSION, systemRecordSchema } from './systemRecord.js';
 import type { Envelope, SystemRecord } from './systemRecord.js';
 import { newEmptyState } from './systemState.js';
 import type { SystemState } from './systemState.js';
 
-/** Ids by which a record that landed twice is known; older ones are caught by what they name. */
-const RECENT_IDS_KEPT = 1_024;
-const RECORDS_BETWEEN_CLEANINGS = 1_024;
+/** Ids that detect duplicate records; older duplicates are rejected for the offsets they name. */
+const MAX_RECENT_IDS = 1_024;
+const RECORDS_BETWEEN_CALL_EVICTIONS = 1_024;
 
-/** A record that was folded, with what came of it. */
+/** A folded record with its decision. */
 export interface Folded {
   offset: number;
   id: string;
@@ -80,33 +80,34 @@
 };
 
 /**
- * Folds the log's records, in order, into the state that all readers share. Nothing here looks at a
- * clock, a random number or this host, so two readers of the same records can never differ.
+ * Folds the log's records, in order, into the state that all readers share. The result does not
+ * depend on a clock, random numbers or the host, so all readers of the same records have the same
+ * state.
  */
 const newFold = (start: SystemState = newEmptyState()) => {
   let state = start;
-  let recent = new Set(state.recentIds);
+  let recentIds = new Set(state.recentIds);
 
-  const remember = (id: string): void => {
+  const rememberId = (id: string): void => {
     state.recentIds.push(id);
-    recent.add(id);
-    if (state.recentIds.length <= RECENT_IDS_KEPT) return;
+    recentIds.add(id);
+    if (state.recentIds.length <= MAX_RECENT_IDS) return;
     const oldest = state.recentIds.shift();
-    if (oldest) recent.delete(oldest);
+    if (oldest) recentIds.delete(oldest);
   };
 
   const decideOnce = (offset: number, envelope: Envelope, record: SystemRecord): Decision => {
-    if (recent.has(envelope.id)) return rejected('landed twice');
-    remember(envelope.id);
+    if (recentIds.has(envelope.id)) return rejected('duplicate record');
+    rememberId(envelope.id);
     return decide(state, offset, record);
   };
 
-  /** @returns what came of it, or null for a record of a newer or foreign format */
+  /** @returns the folded record, or null for a record of a newer or an unknown format */
   const apply = (logged: LogRecord): Folded | null => {
     invariant(logged.offset > state.offset, 'records are folded in the order of their offsets');
     state.offset = logged.offset;
     state.time = Math.max(state.time, logged.at);
-    if (logged.offset % RECORDS_BETWEEN_CLEANINGS === 0) forgetCalls(state.calls, state.time);
+    if (logged.offset % RECORDS_BETWEEN_CALL_EVICTIONS === 0) evictCalls(state.calls, state.time);
     const envelope = restoreEnvelope(logged.body);
     if (!envelope) return null;
     const record = restore(systemRecordSchema, envelope.record);
@@ -117,15 +118,15 @@
       id: envelope.id,
       record: record.val,
       decision,
-      audit: auditEntryOf(logged, envelope, record.val, decision),
+      audit: newAuditEntry(logged, envelope, record.val, decision),
     };
   };
 
-  /** Takes over a whole state, e.g. a checkpoint's. A reader never goes back to a lower offset. */
+  /** Replaces the state, for example by a checkpoint's. The offset must not decrease. */
   const load = (loaded: SystemState): void => {
-    invariant(loaded.offset >= state.offset, 'a reader never goes back');
+    invariant(loaded.offset >= state.offset, 'a loaded state has no lower offset');
     state = loaded;
-    recent = new Set(state.recentIds);
+    recentIds = new Set(state.recentIds);
   };
 
   return { apply, load, state: (): SystemState => state };
--- a/packages/coordination/src/newFollower.ts
+++ b/packages/coordination/src/newFollower.ts
@@ -10,26 +10,26 @@
 type FoldedListener = (folded: Folded) => void;
 
 /**
- * A host's copy of the shared state, moved forward by pages of records from whichever source.
- * Offsets only grow: a page with older records changes nothing, a page with a hole is kept aside.
+ * A host's replica of the shared state, which is advanced by pages of records from any source. The
+ * offset never decreases: older records are ignored, and records after a gap are buffered.
  */
 const newFollower = (clock: Clock) => {
   const fold = newFold();
   const ring = newRecordRing();
   const foldedListeners = new Set<FoldedListener>();
-  const jumpListeners = new Set<() => void>();
-  const waiting = new Set<() => void>();
-  /** Records after a hole, until a checkpoint that spans the hole turns up. */
-  let aside: LogRecord[] = [];
+  const stateReplacedListeners = new Set<() => void>();
+  const waiters = new Set<() => void>();
+  /** Records after a gap, buffered until a checkpoint covers the gap. */
+  let pending: LogRecord[] = [];
   let currentAt = -Infinity;
   let skipped = 0;
   let logFirst = 0;
 
-  const nextOffset = (): number => (aside.at(-1)?.offset ?? fold.state().offset) + 1;
+  const nextOffset = (): number => (pending.at(-1)?.offset ?? fold.state().offset) + 1;
 
   const wake = (): void => {
-    const woken = [...waiting];
-    waiting.clear();
+    const woken = [...waiters];
+    waiters.clear();
     woken.forEach((resume) => resume());
   };
 
@@ -47,7 +47,7 @@
     if (state.offset <= fold.state().offset) return;
     fold.load(state);
     ring.clear();
-    jumpListeners.forEach((listener) => listener());
+    stateReplacedListeners.forEach((listener) => listener());
     wake();
   };
 
@@ -56,85 +56,86 @@
       if (record.offset === fold.state().offset + 1) applyOne(record);
     });
 
-  /** Applies what was kept aside, now that the hole before it is closed. */
-  const applyAside = (): void => {
-    const later = aside;
-    aside = [];
+  /** Applies the buffered records, after the gap before them has been covered. */
+  const applyPending = (): void => {
+    const later = pending;
+    pending = [];
     applyContiguous(later);
   };
 
   /**
-   * The log keeps records for a limited time. A new host, or one paused for longer than that, finds
-   * its next record gone; folding on from a later one would give it a state of its own. So it waits
-   * for a checkpoint that covers everything before the records it has.
+   * The log retains records for a limited time, so the next record of a new host, or of one that
+   * was paused for longer, may no longer exist. Folding a later record next would make its state
+   * diverge from all others. So it waits for a checkpoint that covers all offsets before its
+   * buffered records.
    */
-  const bridge = (records: LogRecord[]): void => {
+  const bridgeGap = (records: LogRecord[]): void => {
     const fresh = records.filter(({ offset }) => offset >= nextOffset());
     const isContiguous = fresh[0]?.offset === nextOffset();
-    aside = isContiguous ? [...aside, ...fresh] : fresh;
-    const oldest = aside[0]?.offset ?? 0;
-    const state = aside
+    pending = isContiguous ? [...pending, ...fresh] : fresh;
+    const oldest = pending[0]?.offset ?? 0;
+    const state = pending
       .map(findCheckpoint)
       .findLast((found) => found !== null && found.offset >= oldest - 1);
     if (!state) return;
     load(state);
-    aside = aside.filter(({ offset }) => offset > state.offset);
-    applyAside();
+    pending = pending.filter(({ offset }) => offset > state.offset);
+    applyPending();
   };
 
-  const ingest = ({ records, logFirst: keptFrom, ageMs }: SourcePage): void => {
-    logFirst = Math.max(logFirst, keptFrom);
+  const ingest = ({ records, logFirst: pageLogFirst, ageMs }: SourcePage): void => {
+    logFirst = Math.max(logFirst, pageLogFirst);
     currentAt = Math.max(currentAt, clock.now() - ageMs);
     const fresh = records.filter(({ offset }) => offset > fold.state().offset);
     const [next] = fresh;
     if (!next) return;
     if (next.offset === fold.state().offset + 1) {
       applyContiguous(fresh);
-      if (aside.some(({ offset }) => offset === fold.state().offset + 1)) applyAside();
+      if (pending.some(({ offset }) => offset === fold.state().offset + 1)) applyPending();
     } else {
-      bridge(fresh);
+      bridgeGap(fresh);
     }
     wake();
   };
 
-  /** Resolves when the state has moved past an offset, or at the deadline. */
+  /** Resolves when the state's offset exceeds the given one, or at the deadline. */
   const waitPast = async (offset: number, deadline: number): Promise<void> => {
     if (fold.state().offset > offset) return;
-    const giveUp = new AbortController();
+    const timer = new AbortController();
     let resume = (): void => undefined;
-    const moved = new Promise<void>((resolve) => {
+    const advanced = new Promise<void>((resolve) => {
       resume = resolve;
     });
-    waiting.add(resume);
-    await Promise.race([moved, clock.sleepUntil(deadline, giveUp.signal)]);
-    waiting.delete(resume);
-    giveUp.abort();
+    waiters.add(resume);
+    await Promise.race([advanced, clock.sleepUntil(deadline, timer.signal)]);
+    waiters.delete(resume);
+    timer.abort();
   };
 
   return {
     ingest,
     load: (state: SystemState): void => {
       load(state);
-      if (aside.some(({ offset }) => offset <= fold.state().offset + 1)) applyAside();
+      if (pending.some(({ offset }) => offset <= fold.state().offset + 1)) applyPending();
     },
     waitPast,
     ring,
     state: fold.state,
     /** The offset to read from next. */
     next: nextOffset,
-    isBridging: (): boolean => aside.length > 0,
-    /** When, on the monotonic clock, this state was last known to be the log's newest. */
+    isBridging: (): boolean => pending.length > 0,
+    /** When this state was last known to match the end of the log, on the monotonic clock. */
     currentAt: (): number => currentAt,
-    /** The oldest offset that the log keeps, as far as this host knows. */
+    /** The oldest offset that the log retains, as far as this host knows. */
     logFirst: (): number => logFirst,
-    /** Records of a newer or foreign format that were passed over. */
+    /** Number of skipped records, which have a newer or an unknown format. */
     skipped: (): number => skipped,
     onFolded: (listener: FoldedListener): void => {
       foldedListeners.add(listener);
     },
-    /** Called when the state was taken over whole, so that single records were not seen. */
-    onJump: (listener: () => void): void => {
-      jumpListeners.add(listener);
+    /** Called when a whole state was loaded, for which `onFolded` is not called. */
+    onStateReplaced: (listener: () => void): void => {
+      stateReplacedListeners.add(listener);
     },
   };
 };
--- a/packages/coordination/src/newLease.ts
+++ b/packages/coordination/src/newLease.ts
@@ -4,12 +4,12 @@
 import type { Follower } from './newFollower.js';
 import type { LogWriter } from './newLogWriter.js';
 
-/** How long a claim holds, counted by its holder from before it was sent. */
+/** How long a claim is valid; the holder counts from before it sent the claim. */
 export const LEASE_TERM_MS = 6_000;
-/** What others wait on top, for clocks that run at different speeds. */
+/** Extra time that other processes wait after the term, to allow for clock drift. */
 export const LEASE_MARGIN_MS = 500;
 const RENEW_BEFORE_END_MS = 4_000;
-const POLL_MS = 200;
+const POLL_INTERVAL_MS = 200;
 
 /** A lease that this process holds now. */
 export interface HeldLease {
@@ -18,20 +18,20 @@
   deadline: number;
 }
 
-/** A lease as this process holds it, or not. */
+/** A lease that this process claims and may hold. */
 export interface Lease {
   /** Claims and renews until the signal aborts. */
   run: (signal: AbortSignal) => Promise<void>;
   /**
-   * The lease, if it is held for at least so much longer. To be asked in the same tick as the
-   * write that it guards, with the write's timeout as the time needed.
+   * Returns the lease if it is held for at least the given time. To be called in the same tick as
+   * the write that it guards, with the timeout of that write.
    */
   holdFor: (neededMs: number) => HeldLease | null;
-  /** Gives the lease back, so that a planned restart costs no term. */
+  /** Releases the lease, so that others need not wait for its term after a planned restart. */
   release: () => Promise<void>;
 }
 
-/** Whether a lease that was looked at before is still held, in the same tenure, for so much longer. */
+/** Whether the lease is still held in the same tenure, for at least the given time. */
 export const isSameHold = (lease: Lease, before: HeldLease, neededMs: number): boolean =>
   lease.holdFor(neededMs)?.fence === before.fence;
 
@@ -42,17 +42,17 @@
   name: string;
   /** Unique to this run of the process: a restarted process is another holder. */
   holder: string;
-  /** How long this host lets others go first when the lease is free, in milliseconds. */
+  /** Delay before claiming a free lease, so that preferred hosts claim first, in milliseconds. */
   deferMs: () => number;
 }
 
 /**
  * One lease, claimed and renewed through the log.
  *
- * The holder may be frozen past its term and resume in the middle of a step; the successor may
- * start while the log is still delivering the old holder's renewal. So the holder counts its
- * deadline from before it sent the claim, the others from when they read it, and both only look at
- * their own monotonic clock: the holder's view always ends first.
+ * The holder may be suspended past its term and resume in the middle of an operation, and a
+ * successor may start before the log has delivered the old holder's renewal. So the holder counts
+ * its term from before it sent the claim and others count from when they read it, each on its own
+ * monotonic clock. The term therefore always ends first in the holder's view.
  */
 export const newLease = (options: LeaseOptions): Lease => {
   const { clock, follower, writer, name, holder, deferMs } = options;
@@ -61,9 +61,9 @@
   let readAt = clock.now();
   let isStopping = false;
 
-  const standing = () => follower.state().leases[name];
+  const currentState = () => follower.state().leases[name];
 
-  follower.onJump(() => {
+  follower.onStateReplaced(() => {
     readAt = clock.now();
   });
 
@@ -72,7 +72,7 @@
     if (record.lease !== name || !decision.accepted) return;
     readAt = clock.now();
     const sent = sentAt.get(id);
-    const lease = standing();
+    const lease = currentState();
     if (record.type === 'lease-release' || !lease || sent === undefined) {
       held = null;
       return;
@@ -83,21 +83,21 @@
   const claim = async (): Promise<void> => {
     const now = clock.now();
     const id = newId('claim');
-    const basedOn = standing()?.offset ?? NEVER_HELD;
+    const basedOn = currentState()?.offset ?? NEVER_HELD;
     sentAt.set(id, now);
     await writer.write(
       { type: 'lease-claim', lease: name, holder, basedOn },
       now + LEASE_TERM_MS,
       id,
     );
-    // A claim that lands later than this has ended before it began.
+    // If a claim is appended later than this, its term has already ended.
     sentAt.forEach((sent, old) => {
       if (sent + LEASE_TERM_MS < clock.now()) sentAt.delete(old);
     });
   };
 
   const isFree = (): boolean => {
-    const lease = standing();
+    const lease = currentState();
     if (!lease || lease.holder === '') return clock.now() >= readAt + deferMs();
     if (lease.holder === holder) return true;
     return clock.now() >= readAt + LEASE_TERM_MS + LEASE_MARGIN_MS + deferMs();
@@ -108,9 +108,9 @@
 
   const run = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
-      const isMine = held !== null && held.deadline > clock.now();
-      if (!isStopping && (isMine ? isDueForRenewal() : isFree())) await claim();
-      await clock.sleepUntil(clock.now() + POLL_MS, signal);
+      const isHeld = held !== null && held.deadline > clock.now();
+      if (!isStopping && (isHeld ? isDueForRenewal() : isFree())) await claim();
+      await clock.sleepUntil(clock.now() + POLL_INTERVAL_MS, signal);
     }
   };
 
@@ -119,10 +119,10 @@
 
   const release = async (): Promise<void> => {
     isStopping = true;
-    const lease = standing();
+    const lease = currentState();
     if (!held || !lease) return;
     held = null;
-    const deadline = clock.now() + POLL_MS * 5;
+    const deadline = clock.now() + POLL_INTERVAL_MS * 5;
     await writer.write(
       { type: 'lease-release', lease: name, holder, basedOn: lease.offset },
       deadline,
--- a/packages/coordination/src/newLogSource.ts
+++ b/packages/coordination/src/newLogSource.ts
@@ -5,10 +5,10 @@
 import type { SourceFault, SourcePage } from './RecordSource.js';
 import type { SystemState } from './systemState.js';
 
-/** Name of the platform's log among the sources. */
+/** The source name of the platform's log. */
 export const LOG_SOURCE_NAME = 'log';
 
-/** Reads straight from the platform's log. */
+/** Reads records directly from the platform's log. */
 export const newLogSource = (log: PlatformLog): RecordSource => {
   class LogSource extends RecordSource {
     readonly name = LOG_SOURCE_NAME;
--- a/packages/coordination/src/newLogWriter.ts
+++ b/packages/coordination/src/newLogWriter.ts
@@ -10,14 +10,14 @@
 import { RECORD_VERSION } from './systemRecord.js';
 import type { SystemRecord } from './systemRecord.js';
 
-/** Records that gather while an append is under way go together, up to this many. */
-const BATCH_RECORDS = 256;
-const BATCH_BYTES = 1_048_576;
+/** Records that are queued during an append are appended together, up to this number. */
+const MAX_BATCH_RECORDS = 256;
+const MAX_BATCH_BYTES = 1_048_576;
 
 /**
  * Why a record's decision is not known by its deadline.
- * - `not-written`: it never left this host
- * - `unknown`: it may be in the log, or may still land there
+ * - `not-written`: the record was not appended
+ * - `unknown`: the record may be in the log, or may still be appended
  */
 export type WriteFault = 'not-written' | 'unknown';
 
@@ -35,96 +35,98 @@
   follower: Follower;
   metrics: Metrics;
   writer: string;
-  /** This host's part of the appends a second that the log takes from the whole system. */
+  /** This host's share of the appends per second that the whole system may send to the log. */
   appendsPerSecond: () => number;
-  /** Spreads the hosts' retries after an outage; tests give a fixed one. */
+  /** Spreads the retries of hosts after an outage; fixed in tests. */
   random?: () => number;
 }
 
 /**
- * Writes records and tells what the fold decided about them.
+ * Writes records and returns the fold's decisions about them.
  *
- * An append's answer can be lost after the record has landed. So an answer is never taken for a
- * decision: the writer sends the record again under the same id, which the fold counts once, and
- * waits until it reads the record back.
+ * The answer to an append can be lost although the record was appended. So the answer does not
+ * settle a write: the writer retries the record under the same id, which the fold applies only
+ * once, and waits until the follower has read the record from the log.
  */
 const newLogWriter = (options: LogWriterOptions) => {
   const { clock, log, follower, metrics, writer, appendsPerSecond, random } = options;
-  const awaited = new Map<string, Pending>();
+  const pendingById = new Map<string, Pending>();
   let queue: Pending[] = [];
   let wake = (): void => undefined;
 
   const settle = (pending: Pending, result: Result<Decision, WriteFault>): void => {
-    awaited.delete(pending.id);
+    pendingById.delete(pending.id);
     pending.resolve(result);
   };
 
   follower.onFolded(({ id, decision }) => {
-    const pending = awaited.get(id);
+    const pending = pendingById.get(id);
     if (pending) settle(pending, Ok(decision));
   });
 
-  const expire = (): void => {
+  const settleExpired = (): void => {
     const now = clock.now();
-    awaited.forEach((pending) => {
+    pendingById.forEach((pending) => {
       if (pending.deadline <= now) settle(pending, Err(pending.isSent ? 'unknown' : 'not-written'));
     });
-    queue = queue.filter(({ id }) => awaited.has(id));
+    queue = queue.filter(({ id }) => pendingById.has(id));
   };
 
   const takeBatch = (): Pending[] => {
     let bytes = 0;
-    const fit = queue.slice(0, BATCH_RECORDS).findIndex(({ body }) => {
+    const firstExcess = queue.slice(0, MAX_BATCH_RECORDS).findIndex(({ body }) => {
       bytes += body.length;
-      return bytes > BATCH_BYTES;
+      return bytes > MAX_BATCH_BYTES;
     });
-    const count = fit === -1 ? BATCH_RECORDS : Math.max(1, fit);
+    const count = firstExcess === -1 ? MAX_BATCH_RECORDS : Math.max(1, firstExcess);
     return queue.splice(0, count);
   };
 
-  /** @returns whether the log took the batch */
+  /** @returns whether the log accepted the batch */
   const appendBatch = async (batch: Pending[]): Promise<boolean> => {
     metrics.count('log_appends');
     metrics.count('log_records_written', batch.length);
     const appended = await log.append(batch.map(({ body }) => body));
-    const mayHaveLanded = appended.ok || appended.val === 'unknown';
+    const mayBeAppended = appended.ok || appended.val === 'unknown';
     batch.forEach((pending) => {
-      pending.isSent ||= mayHaveLanded;
+      pending.isSent ||= mayBeAppended;
     });
     if (!appended.ok) {
       metrics.count('log_append_faults');
-      queue.unshift(...batch.filter(({ id }) => awaited.has(id)));
+      queue.unshift(...batch.filter(({ id }) => pendingById.has(id)));
     }
     return appended.ok;
   };
 
   const waitForWork = async (signal: AbortSignal): Promise<void> => {
-    const nearest = Math.min(...[...awaited.values()].map(({ deadline }) => deadline));
+    const nearestDeadline = Math.min(...[...pendingById.values()].map(({ deadline }) => deadline));
     const interrupt = new AbortController();
     wake = () => interrupt.abort();
     const onAbort = (): void => interrupt.abort();
     signal.addEventListener('abort', onAbort, { once: true });
-    const deadline = Number.isFinite(nearest) ? nearest : clock.now() + 60_000;
+    const deadline = Number.isFinite(nearestDeadline) ? nearestDeadline : clock.now() + 60_000;
     await clock.sleepUntil(deadline, interrupt.signal);
     signal.removeEventListener('abort', onAbort);
   };
 
-  /** Appends what is queued, one batch after the other, until the signal aborts. */
+  /** Appends queued records, one batch at a time, until the signal aborts. */
   const run = async (signal: AbortSignal): Promise<void> => {
     let failures = 0;
     while (!signal.aborted) {
-      expire();
+      settleExpired();
       if (queue.length === 0) {
         await waitForWork(signal);
       } else {
-        const slotEnds = clock.now() + 1_000 / appendsPerSecond();
+        const nextAppendAt = clock.now() + 1_000 / appendsPerSecond();
         const isAppended = await appendBatch(takeBatch());
         failures = isAppended ? 0 : failures + 1;
-        const next = isAppended ? slotEnds : backoff(clock.now(), failures, random);
+        const next = isAppended ? nextAppendAt : backoff(clock.now(), failures, random);
         await clock.sleepUntil(next, signal);
       }
     }
-    awaited.forEach((pending) => settle(pending, Err(pending.isSent ? 'unknown' : 'not-written')));
+    pendingById.forEach((pending) =>
+      settle(pending, Err(pending.isSent ? 'unknown' : 'not-written')),
+    );
   };
 
   /**
@@ -139,7 +141,7 @@
     new Promise((resolve) => {
       const body = JSON.stringify({ version: RECORD_VERSION, id, writer, record });
       const pending: Pending = { id, body, deadline, isSent: false, resolve };
-      awaited.set(id, pending);
+      pendingById.set(id, pending);
       queue.push(pending);
       wake();
     });
--- a/packages/coordination/src/newMembership.ts
+++ b/packages/coordination/src/newMembership.ts
@@ -1,50 +1,56 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { Member } from './member.js';
 
-/** A member is taken for dead when its heartbeat has stood still for this long … */
-const SHORTEST_SILENCE_MS = 5_000;
-/** … plus this for each member, since an exchange carries only some of them. */
-const SILENCE_PER_MEMBER_MS = 120;
-/** Members told of in one exchange, besides the teller. */
-const MEMBERS_TOLD = 16;
-/** A dead member's last word is kept this long, so that a late relay of it does not revive it. */
-const DEAD_KEPT_MS = 120_000;
+/** A member is considered dead if its heartbeat has not advanced for this long … */
+const BASE_HEARTBEAT_TIMEOUT_MS = 5_000;
+/** … plus this time per known member, since an exchange contains only some of the members. */
+const HEARTBEAT_TIMEOUT_PER_MEMBER_MS = 120;
+/** Number of members in one exchange, in addition to the sender. */
+const MAX_MEMBERS_PER_EXCHANGE = 16;
+/** How long a dead member's last heartbeat is kept, so that a late copy does not revive it. */
+const DEAD_MEMBER_RETENTION_MS = 120_000;
 
-interface Sighting {
+interface KnownMember {
   member: Member;
-  /** When its heartbeat was last seen to grow, on this host's monotonic clock. */
-  seenAt: number;
+  /** When an advance of its heartbeat was last received, on this host's monotonic clock. */
+  heartbeatAdvancedAt: number;
 }
 
 /**
- * Who is there, from heartbeats that are passed on from peer to peer. Nothing is agreed here: it
- * serves to find peers, to spread work and to say which hosts a change has reached.
+ * Tracks the live members by heartbeats that spread from peer to peer. Hosts may have different
+ * views of the membership: it only serves to find peers, to spread work and to report which hosts
+ * have applied a change.
  */
 const newMembership = (clock: Clock, readSelf: () => Member, random: () => number) => {
-  const sightings = new Map<string, Sighting>();
+  const knownMembers = new Map<string, KnownMember>();
 
-  const silenceMs = (): number => SHORTEST_SILENCE_MS + SILENCE_PER_MEMBER_MS * sightings.size;
+  const heartbeatTimeoutMs = (): number =>
+    BASE_HEARTBEAT_TIMEOUT_MS + HEARTBEAT_TIMEOUT_PER_MEMBER_MS * knownMembers.size;
 
-  const isLive = ({ seenAt }: Sighting): boolean => clock.now() < seenAt + silenceMs();
+  const isLive = ({ heartbeatAdvancedAt }: KnownMember): boolean =>
+    clock.now() < heartbeatAdvancedAt + heartbeatTimeoutMs();
 
-  const isNews = (told: Member): boolean => {
-    const known = sightings.get(told.id)?.member;
-    return !known || told.heartbeat > known.heartbeat;
+  const hasNewerHeartbeat = (received: Member): boolean => {
+    const known = knownMembers.get(received.id)?.member;
+    return !known || received.heartbeat > known.heartbeat;
   };
 
-  const learn = (told: readonly Member[]): void => {
+  const merge = (received: readonly Member[]): void => {
     const self = readSelf();
-    told
-      .filter((member) => member.id !== self.id && isNews(member))
-      .forEach((member) => sightings.set(member.id, { member, seenAt: clock.now() }));
-    sightings.forEach(({ seenAt }, id) => {
-      if (seenAt + DEAD_KEPT_MS < clock.now()) sightings.delete(id);
+    received
+      .filter((member) => member.id !== self.id && hasNewerHeartbeat(member))
+      .forEach((member) =>
+        knownMembers.set(member.id, { member, heartbeatAdvancedAt: clock.now() }),
+      );
+    knownMembers.forEach(({ heartbeatAdvancedAt }, id) => {
+      if (heartbeatAdvancedAt + DEAD_MEMBER_RETENTION_MS < clock.now()) knownMembers.delete(id);
     });
   };
 
-  const others = (): Member[] => [...sightings.values()].filter(isLive).map(({ member }) => member);
+  const others = (): Member[] =>
+    [...knownMembers.values()].filter(isLive).map(({ member }) => member);
 
-  const pick = (members: Member[], count: number): Member[] => {
+  const pickRandom = (members: Member[], count: number): Member[] => {
     if (members.length <= count) return members;
     const left = [...members];
     return Array.from({ length: count }, () => {
@@ -54,16 +60,18 @@
   };
 
   return {
-    learn,
+    merge,
     /** Live members other than this one. */
     others,
     /** Live members, this one included. */
     live: (): Member[] => [readSelf(), ...others()],
-    /** Members whose heartbeat has stopped, but not long ago. */
-    silent: (): Member[] =>
-      [...sightings.values()].filter((sighting) => !isLive(sighting)).map(({ member }) => member),
-    /** What to tell a peer. */
-    tell: (): Member[] => [readSelf(), ...pick(others(), MEMBERS_TOLD)],
+    /** Members whose heartbeat has stopped and is still retained. */
+    unresponsive: (): Member[] =>
+      [...knownMembers.values()]
+        .filter((knownMember) => !isLive(knownMember))
+        .map(({ member }) => member),
+    /** This member and a random selection of others, to be sent to a peer. */
+    membersToSend: (): Member[] => [readSelf(), ...pickRandom(others(), MAX_MEMBERS_PER_EXCHANGE)],
     highestOffset: (): number => Math.max(-1, ...others().map(({ offset }) => offset)),
   };
 };
--- a/packages/coordination/src/newPeer.ts
+++ b/packages/coordination/src/newPeer.ts
@@ -6,34 +6,34 @@
 import { z } from 'zod';
 import type { Exchange } from './exchange.js';
 import { exchangeSchema } from './exchange.js';
-import { LONGEST_WAIT_MS, membersSeenSchema, sourcePageSchema } from './peerRouter.js';
-import type { MembersSeen, PeerRouter } from './peerRouter.js';
+import { MAX_WAIT_MS, membersViewSchema, sourcePageSchema } from './peerRouter.js';
+import type { MembersView, PeerRouter } from './peerRouter.js';
 import RecordSource from './RecordSource.js';
 import type { SourceFault, SourcePage } from './RecordSource.js';
 import { systemStateSchema } from './systemState.js';
 import type { SystemState } from './systemState.js';
 import type { UsageDelta } from './usageRecords.js';
 
-const TIMEOUT_MS = 4_000;
+const CALL_TIMEOUT_MS = 4_000;
 
-/** Why a peer gave no answer: it may or may not have done what was asked. */
+/** The peer did not answer; it may or may not have executed the call. */
 export type PeerFault = 'no-answer';
 
 /**
- * One peer, as a source of records and for everything else.
+ * A client for one peer, which is also a source of records.
  *
- * A connection to a peer can go silent while the peer is well. Every call has a timeout and its end
- * destroys the connection it used, so the next call finds out on a new one.
+ * A connection can become unresponsive while the peer itself is healthy. So every call has a
+ * timeout that destroys the connection, and the next call opens a new one.
  */
 const newPeer = (url: string) => {
   const client = createTRPCClient<PeerRouter>({ links: [httpLink({ url: `${url}/trpc` })] });
 
-  const ask = async <T>(
+  const request = async <T>(
     call: (signal: AbortSignal) => Promise<unknown>,
     schema: z.ZodType<T>,
     signal?: AbortSignal,
   ): Promise<Result<T, PeerFault>> => {
-    const timeout = AbortSignal.timeout(TIMEOUT_MS);
+    const timeout = AbortSignal.timeout(CALL_TIMEOUT_MS);
     try {
       const raw = await call(signal ? AbortSignal.any([signal, timeout]) : timeout);
       const restored = restore(schema, raw);
@@ -44,7 +44,7 @@
   };
 
   const readSnapshot = async (signal: AbortSignal): Promise<SystemState | null> => {
-    const text = await ask(
+    const text = await request(
       (within) => client.snapshot.query(undefined, { signal: within }),
       z.string(),
       signal,
@@ -58,8 +58,8 @@
     readonly name = url;
 
     async read(from: number, signal: AbortSignal): Promise<Result<SourcePage, SourceFault>> {
-      const page = await ask(
-        (within) => client.records.query({ from, waitMs: LONGEST_WAIT_MS }, { signal: within }),
+      const page = await request(
+        (within) => client.records.query({ from, waitMs: MAX_WAIT_MS }, { signal: within }),
         sourcePageSchema,
         signal,
       );
@@ -74,18 +74,18 @@
   return {
     url,
     source: new PeerSource(),
-    exchange: (told: Exchange): Promise<Result<Exchange, PeerFault>> =>
-      ask((signal) => client.exchange.mutate(told, { signal }), exchangeSchema),
-    members: (): Promise<Result<MembersSeen, PeerFault>> =>
-      ask((signal) => client.members.query(undefined, { signal }), membersSeenSchema),
+    exchange: (sent: Exchange): Promise<Result<Exchange, PeerFault>> =>
+      request((signal) => client.exchange.mutate(sent, { signal }), exchangeSchema),
+    members: (): Promise<Result<MembersView, PeerFault>> =>
+      request((signal) => client.members.query(undefined, { signal }), membersViewSchema),
     offset: (): Promise<Result<number, PeerFault>> =>
-      ask((signal) => client.offset.query(undefined, { signal }), z.int()),
+      request((signal) => client.offset.query(undefined, { signal }), z.int()),
     keepUsage: (host: string, deltas: UsageDelta[]): Promise<Result<unknown, PeerFault>> =>
-      ask((signal) => client.keepUsage.mutate({ host, deltas }, { signal }), z.unknown()),
+      request((signal) => client.keepUsage.mutate({ host, deltas }, { signal }), z.unknown()),
     keepPayload: (digest: string, payload: string): Promise<Result<boolean, PeerFault>> =>
-      ask((signal) => client.keepPayload.mutate({ digest, payload }, { signal }), z.boolean()),
+      request((signal) => client.keepPayload.mutate({ digest, payload }, { signal }), z.boolean()),
     readPayload: (digest: string): Promise<Result<string | null, PeerFault>> =>
-      ask((signal) => client.readPayload.query({ digest }, { signal }), z.string().nullable()),
+      request((signal) => client.readPayload.query({ digest }, { signal }), z.string().nullable()),
   };
 };
 
--- a/packages/coordination/src/newPeerServer.ts
+++ b/packages/coordination/src/newPeerServer.ts
@@ -4,7 +4,7 @@
 import { newPeerRouter } from './peerRouter.js';
 import type { PeerService } from './peerRouter.js';
 
-/** The HTTP server through which peers reach this process. */
+/** The HTTP server for calls from peers. */
 const newPeerServer = (service: PeerService) => {
   const sockets = new Set<Socket>();
   let closedBytes = 0;
@@ -25,7 +25,7 @@
         server.once('error', reject);
         server.listen(port, host, resolve);
       }),
-    /** Bytes received and sent since the start. */
+    /** Bytes received and sent since the server was created. */
     bytes: (): number =>
       [...sockets].reduce(
         (sum, { bytesRead, bytesWritten }) => sum + bytesRead + bytesWritten,
--- a/packages/coordination/src/newRecordRing.ts
+++ b/packages/coordination/src/newRecordRing.ts
@@ -1,21 +1,21 @@
 import type { LogRecord } from '@cyclamengate/platform/logRecord';
 
-const RECORDS_KEPT = 2_048;
-const BYTES_KEPT = 4_194_304;
-const PAGE_RECORDS = 256;
+const MAX_RECORDS = 2_048;
+const MAX_BYTES = 4_194_304;
+const MAX_PAGE_RECORDS = 256;
 
-/** The newest records, for peers that read from this host instead of the log. Bounded in memory. */
+/** Buffers the newest records for peers that read from this host instead of the log. */
 const newRecordRing = () => {
   let records: LogRecord[] = [];
   let bytes = 0;
 
   const trim = (): void => {
-    let drop = Math.max(0, records.length - RECORDS_KEPT);
-    while (bytes > BYTES_KEPT && drop < records.length - 1) {
-      bytes -= records[drop]?.body.length ?? 0;
-      drop += 1;
+    let dropCount = Math.max(0, records.length - MAX_RECORDS);
+    while (bytes > MAX_BYTES && dropCount < records.length - 1) {
+      bytes -= records[dropCount]?.body.length ?? 0;
+      dropCount += 1;
     }
-    if (drop > RECORDS_KEPT / 8 || bytes > BYTES_KEPT) records = records.slice(drop);
+    if (dropCount > MAX_RECORDS / 8 || bytes > MAX_BYTES) records = records.slice(dropCount);
   };
 
   return {
@@ -24,17 +24,17 @@
       bytes += record.body.length;
       trim();
     },
-    /** Forgets everything, after a jump over offsets that were never seen. */
+    /** Deletes all records, after offsets were skipped: the records must be contiguous. */
     clear: (): void => {
       records = [];
       bytes = 0;
     },
-    /** The oldest offset kept, or the one given when there is none. */
+    /** The oldest offset in the buffer, or the given offset if the buffer is empty. */
     first: (otherwise: number): number => records[0]?.offset ?? otherwise,
     from: (offset: number): LogRecord[] => {
       const oldest = records[0]?.offset ?? 0;
       const start = Math.max(0, offset - oldest);
-      return records.slice(start, start + PAGE_RECORDS);
+      return records.slice(start, start + MAX_PAGE_RECORDS);
     },
   };
 };
--- a/packages/coordination/src/newRuntime.ts
+++ b/packages/coordination/src/newRuntime.ts
@@ -26,11 +26,11 @@
 import type { PeerService } from './peerRouter.js';
 import type RecordSource from './RecordSource.js';
 
-/** Appends a second that the whole system allows itself; the log takes several hundred. */
+/** Limit of appends per second for the whole system; the log accepts several hundred. */
 const SYSTEM_APPENDS_PER_SECOND = 200;
-const FEWEST_APPENDS_PER_SECOND = 0.5;
-const MOST_APPENDS_PER_SECOND = 40;
-const DEFER_PER_RANK_MS = 400;
+const MIN_APPENDS_PER_SECOND = 0.5;
+const MAX_APPENDS_PER_SECOND = 40;
+const CLAIM_DELAY_PER_RANK_MS = 400;
 
 export interface RuntimeOptions {
   clock: Clock;
@@ -45,7 +45,7 @@
   readPayload?: PeerService['readPayload'];
 }
 
-/** What every process of the system has: the shared state, a writer, its peers, leases. */
+/** The parts that every process has: the shared state, a log writer, peers and leases. */
 const newRuntime = (options: RuntimeOptions) => {
   const { clock, log, metrics, tasks, settings, role, platformLog } = options;
   const follower = newFollower(clock);
@@ -61,7 +61,8 @@
     failureDomain: settings.failureDomain,
     peerUrl,
     url: `http://${settings.listen.host}:${settings.listen.port}`,
-    // A restarted process goes on above its former beats, so its news are taken for newer.
+    // A restarted process must start above its previous heartbeats, or peers would ignore it as
+    // old.
     heartbeat: clock.wallTime(),
     offset: -1,
     isLeaving: false,
@@ -79,8 +80,8 @@
     writer: settings.id,
     appendsPerSecond: () =>
       Math.min(
-        MOST_APPENDS_PER_SECOND,
-        Math.max(FEWEST_APPENDS_PER_SECOND, SYSTEM_APPENDS_PER_SECOND / membership.live().length),
+        MAX_APPENDS_PER_SECOND,
+        Math.max(MIN_APPENDS_PER_SECOND, SYSTEM_APPENDS_PER_SECOND / membership.live().length),
       ),
   });
 
@@ -90,7 +91,7 @@
     effective = newEffectiveSettings(follower.state().settings);
     settingsListeners.forEach((listener) => listener(effective));
   };
-  follower.onJump(refreshSettings);
+  follower.onStateReplaced(refreshSettings);
   follower.onFolded(({ record, decision, offset }) => {
     if (record.type !== 'settings-change') return;
     log.info({ event: 'settings-change', offset, ...decision });
@@ -112,19 +113,22 @@
     return [...byName.values()];
   };
 
-  const tell = (): Exchange => ({ members: membership.tell(), suspects: suspects.tell() });
-  const learn = (told: Exchange): void => {
-    // Peers may remember beats of a former run of this process whose wall clock was ahead.
-    const own = told.members.filter(({ id }) => id === self.id);
+  const buildExchange = (): Exchange => ({
+    members: membership.membersToSend(),
+    suspects: suspects.tell(),
+  });
+  const applyExchange = (received: Exchange): void => {
+    // Peers may know higher heartbeats of a previous incarnation whose wall clock was ahead.
+    const own = received.members.filter(({ id }) => id === self.id);
     self.heartbeat = Math.max(self.heartbeat, ...own.map(({ heartbeat }) => heartbeat + 1));
-    membership.learn(told.members);
-    suspects.learn(told.suspects);
+    membership.merge(received.members);
+    suspects.merge(received.suspects);
   };
 
   const service: PeerService = {
-    exchange: (told) => {
-      learn(told);
-      return tell();
+    exchange: (received) => {
+      applyExchange(received);
+      return buildExchange();
     },
     records: async (from, waitMs) => {
       await follower.waitPast(from - 1, clock.now() + waitMs);
@@ -136,7 +140,7 @@
       };
     },
     snapshot: follower.state,
-    members: () => ({ live: membership.live(), silent: membership.silent() }),
+    members: () => ({ live: membership.live(), silent: membership.unresponsive() }),
     keepUsage: options.keepUsage ?? (() => undefined),
     keepPayload: options.keepPayload ?? (() => false),
     readPayload: options.readPayload ?? (() => null),
@@ -150,7 +154,7 @@
     tasks.start('log writer', writer.run);
     tasks.start('log follower', (signal) =>
       followLog(
-        { clock, follower, sources: readSources, highestKnown: membership.highestOffset },
+        { clock, follower, sources: readSources, highestKnownOffset: membership.highestOffset },
         signal,
       ),
     );
@@ -161,9 +165,9 @@
           membership,
           seeds: settings.seeds.filter((seed) => seed !== peerUrl),
           peerAt,
-          tell,
-          learn,
-          beat: () => {
+          buildExchange,
+          applyExchange,
+          advanceHeartbeat: () => {
             self.heartbeat += 1;
           },
           random: Math.random,
@@ -173,8 +177,8 @@
     );
   };
 
-  /** Hosts of the right role queue up for a lease by rank, those of its own domain first. */
-  const deferMs = (name: string, preferredDomain: string | null): number => {
+  /** Delay by rank among the live members of this role, those of the preferred domain first. */
+  const claimDelayMs = (name: string, preferredDomain: string | null): number => {
     const candidates = membership.live().filter((member) => member.role === role);
     const isPreferred = (member: Member): boolean => member.failureDomain === preferredDomain;
     const order = rendezvousRank(
@@ -182,11 +186,11 @@
       candidates.map(({ id }) => id),
     );
     const preferred = candidates.filter(isPreferred).map(({ id }) => id);
-    const queue = [
+    const ranking = [
       ...order.filter((id) => preferred.includes(id)),
       ...order.filter((id) => !preferred.includes(id)),
     ];
-    return Math.max(0, queue.indexOf(settings.id)) * DEFER_PER_RANK_MS;
+    return Math.max(0, ranking.indexOf(settings.id)) * CLAIM_DELAY_PER_RANK_MS;
   };
 
   const startLease = (name: string, preferredDomain: string | null = null): Lease => {
@@ -196,7 +200,7 @@
       writer,
       name,
       holder: incarnation,
-      deferMs: () => deferMs(name, preferredDomain),
+      deferMs: () => claimDelayMs(name, preferredDomain),
     });
     tasks.start(`lease ${name}`, lease.run);
     return lease;
--- a/packages/coordination/src/newSuspects.ts
+++ b/packages/coordination/src/newSuspects.ts
@@ -1,13 +1,13 @@
 import type { Suspect } from './suspect.js';
 
-/** A request is refused once this many upstreams have died while running it. */
-export const DEADLY_UPSTREAMS = 2;
-const SUSPECTS_KEPT = 1_024;
-const SUSPECTS_TOLD = 16;
+/** A request is refused after this many upstreams have died while running it. */
+export const DEADLY_UPSTREAM_COUNT = 2;
+const MAX_SUSPECTS = 1_024;
+const MAX_SUSPECTS_PER_EXCHANGE = 16;
 
 /**
- * Requests under suspicion of killing the upstreams that run them, merged over all hosts. Deaths
- * are kept as sets of upstreams, so hearing of one twice does not count it twice.
+ * Tracks requests that may crash the upstreams that run them, merged over all hosts. For each
+ * request the dead upstreams are stored as a set, so a death that is reported twice counts once.
  */
 const newSuspects = () => {
   const upstreamsByDigest = new Map<string, Set<string>>();
@@ -18,13 +18,13 @@
     upstreamsByDigest.delete(digest);
     upstreamsByDigest.set(digest, upstreams);
     const [oldest] = upstreamsByDigest.keys();
-    if (upstreamsByDigest.size > SUSPECTS_KEPT && oldest) upstreamsByDigest.delete(oldest);
+    if (upstreamsByDigest.size > MAX_SUSPECTS && oldest) upstreamsByDigest.delete(oldest);
   };
 
   return {
     add,
-    learn: (told: readonly Suspect[]): void =>
-      told.forEach(({ digest, upstreams }) => {
+    merge: (received: readonly Suspect[]): void =>
+      received.forEach(({ digest, upstreams }) => {
         const known = upstreamsByDigest.get(digest);
         upstreams
           .filter((upstream) => !known?.has(upstream))
@@ -32,10 +32,10 @@
       }),
     tell: (): Suspect[] =>
       [...upstreamsByDigest]
-        .slice(-SUSPECTS_TOLD)
+        .slice(-MAX_SUSPECTS_PER_EXCHANGE)
         .map(([digest, upstreams]) => ({ digest, upstreams: [...upstreams] })),
     isDeadly: (digest: string): boolean =>
-      (upstreamsByDigest.get(digest)?.size ?? 0) >= DEADLY_UPSTREAMS,
+      (upstreamsByDigest.get(digest)?.size ?? 0) >= DEADLY_UPSTREAM_COUNT,
   };
 };
 
--- a/packages/coordination/src/peerRouter.ts
+++ b/packages/coordination/src/peerRouter.ts
@@ -9,8 +9,8 @@
 import { usageDeltaSchema } from './usageRecords.js';
 import type { UsageDelta } from './usageRecords.js';
 
-/** Longest time for which a peer holds a read open. */
-export const LONGEST_WAIT_MS = 2_000;
+/** Maximum time for which a peer holds a read open. */
+export const MAX_WAIT_MS = 2_000;
 
 export const sourcePageSchema = z.object({
   records: z.array(logRecordSchema),
@@ -19,27 +19,27 @@
   ageMs: z.number(),
 });
 
-const copySchema = z.object({
+const usageCopySchema = z.object({
   host: z.string(),
-  /** Deltas not yet in the log; an empty list says that all are. */
+  /** Deltas that are not in the log yet; empty if all of them are. */
   deltas: z.array(usageDeltaSchema),
 });
 
-/** Members as one host sees them. */
-export const membersSeenSchema = z.object({
+/** One host's view of the members. */
+export const membersViewSchema = z.object({
   live: z.array(memberSchema),
-  /** Not heard of lately: dead, or on the other side of a cut. */
+  /** Members without a recent heartbeat: dead, or on the other side of a network partition. */
   silent: z.array(memberSchema),
 });
 
-export type MembersSeen = z.infer<typeof membersSeenSchema>;
+export type MembersView = z.infer<typeof membersViewSchema>;
 
-/** What a process does for its peers. */
+/** The operations that a process provides to its peers. */
 export interface PeerService {
-  exchange: (told: Exchange) => Exchange;
+  exchange: (received: Exchange) => Exchange;
   records: (from: number, waitMs: number) => Promise<SourcePage>;
   snapshot: () => SystemState;
-  members: () => MembersSeen;
+  members: () => MembersView;
   keepUsage: (host: string, deltas: UsageDelta[]) => void;
   keepPayload: (digest: string, payload: string) => boolean;
   readPayload: (digest: string) => string | null;
@@ -47,20 +47,20 @@
 
 const t = initTRPC.create();
 
-/** The procedures through which the system's own processes talk. */
+/** The procedures for calls between the system's own processes. */
 export const newPeerRouter = (service: PeerService) =>
   t.router({
     exchange: t.procedure.input(exchangeSchema).mutation(({ input }) => service.exchange(input)),
     records: t.procedure
-      .input(z.object({ from: z.int(), waitMs: z.int().min(0).max(LONGEST_WAIT_MS) }))
+      .input(z.object({ from: z.int(), waitMs: z.int().min(0).max(MAX_WAIT_MS) }))
       .query(({ input }) => service.records(input.from, input.waitMs)),
-    /** As text: a state is checked once, by the reader. */
+    /** Sent as text, so that the state is only validated once, by the reader. */
     snapshot: t.procedure.query(() => JSON.stringify(service.snapshot())),
-    /** The offset in force here; for whoever waits until a change is in force everywhere. */
+    /** The offset applied here; for callers that wait until a change is in force on every host. */
     offset: t.procedure.query(() => service.snapshot().offset),
     members: t.procedure.query(() => service.members()),
     keepUsage: t.procedure
-      .input(copySchema)
+      .input(usageCopySchema)
       .mutation(({ input }) => service.keepUsage(input.host, input.deltas)),
     keepPayload: t.procedure
       .input(z.object({ digest: z.string(), payload: z.string() }))
--- a/packages/coordination/src/sampleRecords.ts
+++ b/packages/coordination/src/sampleRecords.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** Which weights produced a stretch of a sample's tokens. */
+/** The weights version that produced a run of consecutive tokens of a sample. */
 export const versionSegmentSchema = z.object({ version: z.int(), tokens: z.int().min(1) });
 
 export type VersionSegment = z.infer<typeof versionSegmentSchema>;
@@ -23,7 +23,7 @@
 
 export type StepOpened = z.infer<typeof stepOpenedSchema>;
 
-/** Binds a slot to one sample. `attempt` counts how often the slot has been released. */
+/** Binds a sample to a slot. `attempt` is the number of times that the slot has been released. */
 export const sampleBoundSchema = z.object({
   type: z.literal('sample-bound'),
   trainer: z.string(),
@@ -37,7 +37,7 @@
 
 export type SampleBound = z.infer<typeof sampleBoundSchema>;
 
-/** Frees a slot whose sample aged out or lost all its copies before it was offered. */
+/** Releases a slot whose sample became stale or lost all its copies before it was offered. */
 export const slotReleasedSchema = z.object({
   type: z.literal('slot-released'),
   trainer: z.string(),
@@ -49,13 +49,13 @@
 
 export type SlotReleased = z.infer<typeof slotReleasedSchema>;
 
-/** Written before samples leave for the trainer: from here on these positions never change. */
+/** Written before samples are sent to the trainer; these positions never change afterwards. */
 export const samplesOfferedSchema = z.object({
   type: z.literal('samples-offered'),
   trainer: z.string(),
   step: z.int(),
   through: z.int(),
-  /** Digests of the newly offered positions, so that a reader of old state offers nothing else. */
+  /** Digests of the newly offered samples, so that a host with an old state offers no others. */
   digests: z.array(z.string()),
 });
 
--- a/packages/coordination/src/suspect.ts
+++ b/packages/coordination/src/suspect.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** A request, by digest, and the upstreams that died while they ran it. */
+/** The digest of a request, and the upstreams that died while running it. */
 export const suspectSchema = z.object({
   digest: z.string(),
   upstreams: z.array(z.string()),
--- a/packages/coordination/src/systemRecord.ts
+++ b/packages/coordination/src/systemRecord.ts
@@ -13,7 +13,7 @@
 } from './sampleRecords.js';
 import { usageCloseSchema, usageDeltaSchema, usageReportedSchema } from './usageRecords.js';
 
-/** Everything that the system writes into the log. */
+/** All record types that the system writes to the log. */
 export const systemRecordSchema = z.discriminatedUnion('type', [
   settingsChangeSchema.extend({ type: z.literal('settings-change') }),
   leaseClaimSchema,
@@ -34,7 +34,7 @@
 
 export type SystemRecord = z.infer<typeof systemRecordSchema>;
 
-/** Format of the envelope. A reader skips a newer one, keeps its offset and counts it. */
+/** Version of the envelope format. Readers skip and count records of a newer version. */
 export const RECORD_VERSION = 1;
 
 export const envelopeSchema = z.object({
--- a/packages/coordination/src/systemState.ts
+++ b/packages/coordination/src/systemState.ts
@@ -5,11 +5,11 @@
 import { trainerStateSchema } from './trainerState.js';
 import { usageStateSchema } from './usageState.js';
 
-/** What every reader of the same records arrives at. Plain data: it is its own checkpoint. */
+/** The state that all readers derive from the same records. Plain data, usable as a checkpoint. */
 export const systemStateSchema = z.object({
-  /** Offset of the last record in it; -1 before the first. */
+  /** Offset of the last applied record; -1 before the first. */
   offset: z.int(),
-  /** Highest time the log has stamped on a record. */
+  /** Highest timestamp that the log has given a record. */
   time: z.number(),
   recentIds: z.array(z.string()),
   settings: settingsTreeSchema,
--- a/packages/coordination/src/trainerState.ts
+++ b/packages/coordination/src/trainerState.ts
@@ -20,7 +20,7 @@
   slots: z.array(slotStateSchema),
   /** Slots in the order in which the trainer reads them. */
   delivery: z.array(z.int()),
-  /** Positions before this one have left for the trainer and stay as they are. */
+  /** Positions before this one may have been sent to the trainer and no longer change. */
   offered: z.int(),
 });
 
--- a/packages/coordination/src/usageRecords.ts
+++ b/packages/coordination/src/usageRecords.ts
@@ -1,12 +1,12 @@
 import { usageFigureSchema } from '@cyclamengate/platform/usageReport';
 import { z } from 'zod';
 
-/** Figures by window (start, milliseconds since the epoch) and customer. */
+/** Figures by window (its start in milliseconds since the epoch) and customer. */
 export const windowFiguresSchema = z.record(z.string(), z.record(z.string(), usageFigureSchema));
 
 export type WindowFigures = z.infer<typeof windowFiguresSchema>;
 
-/** What a host has counted since its last sequence number. Sealed: never changes afterwards. */
+/** A host's usage since its previous sequence number. A delta is sealed: it never changes. */
 export const usageDeltaSchema = z.object({
   type: z.literal('usage-delta'),
   host: z.string(),
@@ -16,7 +16,7 @@
 
 export type UsageDelta = z.infer<typeof usageDeltaSchema>;
 
-/** Fixes a window's figures. The fold works them out, so nobody can send others. */
+/** Fixes a window's figures. The fold computes them, so no process can report different ones. */
 export const usageCloseSchema = z.object({
   type: z.literal('usage-close'),
   window: z.int(),
--- a/packages/coordination/src/usageState.ts
+++ b/packages/coordination/src/usageState.ts
@@ -11,10 +11,10 @@
 });
 
 export const usageStateSchema = z.object({
-  /** Highest sequence number counted of each host, and when, by the log's clock. */
+  /** Highest counted sequence number of each host, and when it was counted, by the log's clock. */
   hosts: z.record(z.string(), z.object({ sequence: z.int(), at: z.number() })),
   open: windowFiguresSchema,
-  /** Usage of closed windows that came too late; billed with the next window that closes. */
+  /** Usage that arrived after its window was closed; billed with the next window that closes. */
   late: customerFiguresSchema,
   closed: z.record(z.string(), closedWindowSchema),
   closedThrough: z.int(),
--- a/packages/coordination/src/writeCheckpoints.ts
+++ b/packages/coordination/src/writeCheckpoints.ts
@@ -3,19 +3,19 @@
 import type { Lease } from './newLease.js';
 import type { LogWriter } from './newLogWriter.js';
 
-const CHECK_EVERY_MS = 1_000;
+const CHECK_INTERVAL_MS = 1_000;
 const WRITE_TIMEOUT_MS = 5_000;
-/** A checkpoint is due after so many records, … */
-export const RECORDS_BETWEEN_CHECKPOINTS = 2_000;
-/** … when it has moved through so much of what the log keeps, … */
-const RETENTION_PART = 0.4;
-/** … or after this time, also when nobody changes anything: retention goes by time as well. */
-export const CHECKPOINT_EVERY_MS = 60_000;
+/** A checkpoint is due after this many records, … */
+export const MAX_RECORDS_BETWEEN_CHECKPOINTS = 2_000;
+/** … when this fraction of the records that the log retains is newer than the last checkpoint, … */
+const MAX_CHECKPOINT_AGE_RATIO = 0.4;
+/** … or after this time, even without new records, since the log also limits retention by time. */
+export const CHECKPOINT_INTERVAL_MS = 60_000;
 
 /**
- * Writes the state into the log well before retention takes the records it came from. The
- * checkpoint names the offset it covers and readers apply the later records over it, so one that
- * lands after a newer change takes nothing back.
+ * Writes the state to the log well before the records that produced it exceed the log's retention.
+ * A checkpoint names the offset that it covers and readers apply all later records on top of it, so
+ * a checkpoint that is appended after a newer change does not revert that change.
  */
 const writeCheckpoints = async (
   clock: Clock,
@@ -31,15 +31,20 @@
     if (record.type !== 'checkpoint') return;
     writtenAt = offset;
     covered = Math.max(covered, record.covers);
-    dueAt = clock.now() + CHECKPOINT_EVERY_MS;
+    dueAt = clock.now() + CHECKPOINT_INTERVAL_MS;
   });
 
   const isDue = (): boolean => {
     const { offset } = follower.state();
     if (offset < 0) return false;
     const first = follower.logFirst();
-    const isNearEnd = first > 0 && writtenAt < first + (offset - first) * (1 - RETENTION_PART);
-    return isNearEnd || offset - covered >= RECORDS_BETWEEN_CHECKPOINTS || clock.now() >= dueAt;
+    const isNearRetentionLimit =
+      first > 0 && writtenAt < first + (offset - first) * (1 - MAX_CHECKPOINT_AGE_RATIO);
+    return (
+      isNearRetentionLimit ||
+      offset - covered >= MAX_RECORDS_BETWEEN_CHECKPOINTS ||
+      clock.now() >= dueAt
+    );
   };
 
   while (!signal.aborted) {
@@ -50,7 +55,7 @@
         clock.now() + WRITE_TIMEOUT_MS,
       );
     }
-    await clock.sleepUntil(clock.now() + CHECK_EVERY_MS, signal);
+    await clock.sleepUntil(clock.now() + CHECK_INTERVAL_MS, signal);
   }
 };
 
--- a/packages/coordination/tests/followLog.test.ts
+++ b/packages/coordination/tests/followLog.test.ts
@@ -12,22 +12,22 @@
 import RecordSource from '../src/RecordSource.js';
 import type { SourceFault, SourcePage } from '../src/RecordSource.js';
 import type { SystemState } from '../src/systemState.js';
-import { bodyOf, changeOf, rootSubtree } from './recordHelpers.js';
+import { newBody, newChange, rootSubtree } from './recordHelpers.js';
 
-const WAIT_MS = 200;
+const READ_WAIT_MS = 200;
 
-const logOf = (count: number): LogRecord[] =>
+const newRecords = (count: number): LogRecord[] =>
   Array.from({ length: count }, (_, offset) => ({
     offset,
     at: offset,
-    body: bodyOf(
+    body: newBody(
       offset === 0
-        ? changeOf('/', -1, rootSubtree)
-        : changeOf(`/team-${offset}`, -1, { customers: [{ id: `c${offset}` }] }),
+        ? newChange('/', -1, rootSubtree)
+        : newChange(`/team-${offset}`, -1, { customers: [{ id: `c${offset}` }] }),
     ),
   }));
 
-/** A source that holds some records of the log and may be down. */
+/** A source that has some records of the log and can be made unreachable. */
 class FakeSource extends RecordSource {
   reads = 0;
 
@@ -44,7 +44,7 @@
 
   async read(from: number): Promise<Result<SourcePage, SourceFault>> {
     this.reads += 1;
-    await this.clock.sleepUntil(this.clock.now() + WAIT_MS);
+    await this.clock.sleepUntil(this.clock.now() + READ_WAIT_MS);
     if (this.isDown) return Err('unreachable');
     const records = this.records.filter(({ offset }) => offset >= from);
     return Ok({ records, first: this.records[0]?.offset ?? 0, logFirst: 0, ageMs: 0 });
@@ -55,23 +55,23 @@
   }
 }
 
-const newBench = (highest: number) => {
+const newParts = (highest: number) => {
   const clock = newManualClock();
   const follower = newFollower(clock);
   const sources: RecordSource[] = [];
   const stop = new AbortController();
   const start = (): void => {
-    const options = { clock, follower, sources: () => sources, highestKnown: () => highest };
+    const options = { clock, follower, sources: () => sources, highestKnownOffset: () => highest };
     followLog(options, stop.signal).catch(() => undefined);
   };
   return { clock, follower, sources, start, stop: () => stop.abort() };
 };
 
-// A relay is up and answers, but its own source is stuck: its pages are empty for ever. Its readers
-// would serve withdrawn keys as long as it lives.
-test('a reader leaves a relay that falls behind what members report', async (t) => {
-  const { clock, follower, sources, start, stop } = newBench(4);
-  const records = logOf(5);
+// A relay answers, but its own source is stuck, so it only returns empty pages. Its readers would
+// continue to serve withdrawn keys.
+test('a reader switches away from a relay that falls behind the offsets that members report', async (t) => {
+  const { clock, follower, sources, start, stop } = newParts(4);
+  const records = newRecords(5);
   sources.push(
     new FakeSource('stuck', clock, records.slice(0, 2)),
     new FakeSource('log', clock, records),
@@ -84,9 +84,9 @@
   stop();
 });
 
-test('while the log is out records come from a peer, and a relay that died is replaced', async (t) => {
-  const { clock, follower, sources, start, stop } = newBench(4);
-  const records = logOf(5);
+test('during an outage of the log records are read from a peer, and a failed relay is replaced', async (t) => {
+  const { clock, follower, sources, start, stop } = newParts(4);
+  const records = newRecords(5);
   const relay = new FakeSource('relay', clock, records.slice(0, 3));
   const log = new FakeSource('log', clock, []);
   log.isDown = true;
@@ -99,10 +99,10 @@
   stop();
 });
 
-// A new host starts while the log is out; its peers no longer hold the first records.
-test('a host that is behind what a peer still relays takes the whole state from it', async (t) => {
-  const { clock, follower, sources, start, stop } = newBench(5);
-  const records = logOf(6);
+// A new host starts during an outage of the log, and its peers no longer have the first records.
+test('a host that is behind the oldest record of a peer loads a snapshot from it', async (t) => {
+  const { clock, follower, sources, start, stop } = newParts(5);
+  const records = newRecords(6);
   const fold = newFold();
   records.slice(0, 5).forEach((record) => fold.apply(record));
   sources.push(new FakeSource('peer', clock, records.slice(3), fold.state()));
@@ -113,10 +113,10 @@
   stop();
 });
 
-// A peer that was paused offers its old state to a host that is further ahead.
+// A peer that was paused sends its old state to a host that has a higher offset.
 test('a host never moves back to a lower offset', (t) => {
   const follower = newFollower(newManualClock());
-  const records = logOf(6);
+  const records = newRecords(6);
   const old = newFold();
   records.slice(0, 2).forEach((record) => old.apply(record));
   follower.ingest({ records, first: 0, logFirst: 0, ageMs: 0 });
@@ -126,7 +126,7 @@
   t.truthy(follower.state().settings['/team-5']);
 });
 
-const memberOf = (index: number, failureDomain: string): Member => ({
+const newMember = (index: number, failureDomain: string): Member => ({
   id: `host-${index}`,
   incarnation: `host-${index}`,
   role: 'entry',
@@ -140,8 +140,10 @@
   demand: {},
 });
 
-test('of many hosts two in each failure domain read the log, and every chain ends at one of them', (t) => {
-  const members = Array.from({ length: 330 }, (_, index) => memberOf(index, `domain-${index % 8}`));
+test('two hosts of each failure domain read the log and all others read through them', (t) => {
+  const members = Array.from({ length: 330 }, (_, index) =>
+    newMember(index, `domain-${index % 8}`),
+  );
   const parents = new Map(
     members.map((self) => [
       self.id,
@@ -163,24 +165,24 @@
   t.true(Math.max(...children.values()) <= 16);
 });
 
-test('a member whose heartbeat stands still is silent, and its late word does not revive it', async (t) => {
+test('a member whose heartbeat does not advance is unresponsive, and repeating it does not revive it', async (t) => {
   const clock = newManualClock();
-  const self = memberOf(0, 'a');
+  const self = newMember(0, 'a');
   const membership = newMembership(
     clock,
     () => self,
     () => 0.5,
   );
-  const other = memberOf(1, 'b');
-  membership.learn([{ ...other, heartbeat: 7 }]);
+  const other = newMember(1, 'b');
+  membership.merge([{ ...other, heartbeat: 7 }]);
   t.is(membership.live().length, 2);
   await clock.advance(6_000);
-  membership.learn([{ ...other, heartbeat: 7 }]);
+  membership.merge([{ ...other, heartbeat: 7 }]);
   t.is(membership.live().length, 1);
   t.deepEqual(
-    membership.silent().map(({ id }) => id),
+    membership.unresponsive().map(({ id }) => id),
     [other.id],
   );
-  membership.learn([{ ...other, heartbeat: 8 }]);
+  membership.merge([{ ...other, heartbeat: 8 }]);
   t.is(membership.live().length, 2);
 });
--- a/packages/coordination/tests/newFold.model.test.ts
+++ b/packages/coordination/tests/newFold.model.test.ts
@@ -5,7 +5,7 @@
 import newFold from '../src/newFold.js';
 import type { SystemRecord } from '../src/systemRecord.js';
 import newFollower from '../src/newFollower.js';
-import { bodyOf, changeOf, rootSubtree } from './recordHelpers.js';
+import { newBody, newChange, rootSubtree } from './recordHelpers.js';
 
 const RUNS = 150;
 const small = fc.integer({ min: 0, max: 4 });
@@ -15,7 +15,7 @@
   fc
     .tuple(fc.constantFrom('/', '/a', '/a/b'), offset, fc.constantFrom('admin', 'nobody'), small)
     .map(([path, basedOn, operator, share]) =>
-      changeOf(
+      newChange(
         path,
         basedOn,
         path === '/' ? rootSubtree : { customers: [{ id: `c${path.length}`, share: share + 1 }] },
@@ -82,19 +82,19 @@
   })),
 );
 
-/** Records in the log's order; every id may land several times, anywhere. */
+/** Records in log order; each id may occur several times at any position. */
 const anyLog: fc.Arbitrary<LogRecord[]> = fc
   .array(fc.tuple(anyRecord, fc.integer({ min: 0, max: 30 })), { maxLength: 60 })
   .map((entries) => {
     const bodies = new Map<number, string>();
-    const first = bodyOf(changeOf('/', -1, rootSubtree));
-    const landed = entries.map(([record, id], index) => {
+    const first = newBody(newChange('/', -1, rootSubtree));
+    const appended = entries.map(([record, id], index) => {
       const isRepeated = bodies.has(id) && index % 3 === 0;
-      const body = isRepeated ? (bodies.get(id) as string) : bodyOf(record);
+      const body = isRepeated ? (bodies.get(id) as string) : newBody(record);
       bodies.set(id, body);
       return body;
     });
-    return [first, ...landed].map((body, index) => ({ offset: index, at: index, body }));
+    return [first, ...appended].map((body, index) => ({ offset: index, at: index, body }));
   });
 
 const foldAll = (records: LogRecord[]) => {
@@ -103,36 +103,41 @@
   return { state: fold.state(), folded };
 };
 
-const checkpointOf = (records: LogRecord[], covered: number): string => {
+const newCheckpointBody = (records: LogRecord[], covered: number): string => {
   const { state } = foldAll(records.slice(0, covered + 1));
-  return bodyOf({ type: 'checkpoint', covers: covered, state: structuredClone(state) });
+  return newBody({ type: 'checkpoint', covers: covered, state: structuredClone(state) });
 };
 
-// A host may join late, be paused for longer than the log keeps records, or get its records from
-// peers twice and in pieces. A user would see two hosts that enforce different settings for ever.
-test('readers that start from any checkpoint end where a reader of all records ends', (t) => {
+// A host may join late, be paused for longer than the log's retention, or get records from peers
+// twice and in parts. If its state diverged, hosts would enforce different settings permanently.
+test('readers that start from any checkpoint reach the state of a reader of all records', (t) => {
   fc.assert(
     fc.property(anyLog, fc.nat(), fc.nat(), (log, covers, cut) => {
       const covered = covers % log.length;
-      const forgotten = cut % (covered + 1);
+      const firstRetained = cut % (covered + 1);
       const records = [
         ...log,
-        { offset: log.length, at: log.length, body: checkpointOf(log, covered) },
+        { offset: log.length, at: log.length, body: newCheckpointBody(log, covered) },
       ];
-      const late = newFollower(newManualClock());
-      const kept = records.slice(forgotten);
-      const half = Math.ceil(kept.length / 2);
-      late.ingest({ records: kept.slice(0, half), first: forgotten, logFirst: 0, ageMs: 0 });
-      late.ingest({ records: kept, first: forgotten, logFirst: 0, ageMs: 0 });
-      t.deepEqual(late.state(), foldAll(records).state);
+      const lateReader = newFollower(newManualClock());
+      const retained = records.slice(firstRetained);
+      const half = Math.ceil(retained.length / 2);
+      lateReader.ingest({
+        records: retained.slice(0, half),
+        first: firstRetained,
+        logFirst: 0,
+        ageMs: 0,
+      });
+      lateReader.ingest({ records: retained, first: firstRetained, logFirst: 0, ageMs: 0 });
+      t.deepEqual(lateReader.state(), foldAll(records).state);
     }),
     { numRuns: RUNS },
   );
 });
 
-// An append's answer is lost and the writer sends the record again, so it lands twice, the second
-// time perhaps long after others. A user would see an old change come back over a newer one.
-test('nothing that was accepted is reverted by a record that lands late or twice', (t) => {
+// The answer to an append is lost and the writer retries, so the record is appended twice, the
+// second time possibly long after others. An old change would overwrite a newer one.
+test('a late or duplicate record never reverts an accepted one', (t) => {
   fc.assert(
     fc.property(anyLog, (log) => {
       const fold = newFold();
@@ -166,21 +171,21 @@
   );
 });
 
-// A newer version of the program writes records that this one does not know. A reader that stopped
-// at them would serve withdrawn keys until it is replaced.
-test('a record of a newer format or of no format at all stops no reader', (t) => {
+// A newer version of the program writes records that this version does not know. A reader that
+// stopped at them would serve withdrawn keys until it is upgraded.
+test('a record of a newer or an unknown format does not stop a reader', (t) => {
   const fold = newFold();
-  fold.apply({ offset: 0, at: 0, body: bodyOf(changeOf('/', -1, rootSubtree)) });
+  fold.apply({ offset: 0, at: 0, body: newBody(newChange('/', -1, rootSubtree)) });
   t.is(
     fold.apply({ offset: 1, at: 1, body: '{"version":9,"id":"x","writer":"y","record":{}}' }),
     null,
   );
   t.is(fold.apply({ offset: 2, at: 2, body: 'not JSON' }), null);
-  t.is(fold.apply({ offset: 3, at: 3, body: bodyOf({ type: 'new' } as never) }), null);
+  t.is(fold.apply({ offset: 3, at: 3, body: newBody({ type: 'new' } as never) }), null);
   fold.apply({
     offset: 4,
     at: 4,
-    body: bodyOf(changeOf('/a', -1, { customers: [{ id: 'late' }] })),
+    body: newBody(newChange('/a', -1, { customers: [{ id: 'late' }] })),
   });
   t.is(fold.state().settings['/a']?.revision, 4);
 });
--- a/packages/coordination/tests/newLease.test.ts
+++ b/packages/coordination/tests/newLease.test.ts
@@ -10,9 +10,9 @@
 import newLogWriter from '../src/newLogWriter.js';
 
 const LEASE = 'orders-nafplio-a';
-const READ_EVERY_MS = 100;
+const READ_INTERVAL_MS = 100;
 
-/** A process that contends for the lease, with a clock of its own that a test can hold still. */
+/** A process that contends for the lease, with its own clock that the test can stop. */
 const newContender = (log: MemoryLog, clock: ManualClock, holder: string, deferMs = 0) => {
   const follower = newFollower(clock);
   const writer = newLogWriter({
@@ -33,12 +33,12 @@
     deferMs: () => deferMs,
   });
   const { signal } = new AbortController();
-  let isDeaf = false;
+  let isReadPaused = false;
   const read = async (): Promise<void> => {
     for (;;) {
       const page = await log.read(follower.next());
-      if (page.ok && !isDeaf) follower.ingest({ ...page.val, logFirst: 0, ageMs: 0 });
-      await clock.sleepUntil(clock.now() + READ_EVERY_MS);
+      if (page.ok && !isReadPaused) follower.ingest({ ...page.val, logFirst: 0, ageMs: 0 });
+      await clock.sleepUntil(clock.now() + READ_INTERVAL_MS);
     }
   };
   read().catch(() => undefined);
@@ -47,61 +47,61 @@
   return {
     lease,
     follower,
-    /** While deaf it reads nothing, and so can't learn that another one took over. */
-    setDeaf: (wanted: boolean): void => {
-      isDeaf = wanted;
+    /** While paused it reads no records, so it cannot learn that another process took over. */
+    setReadPaused: (wanted: boolean): void => {
+      isReadPaused = wanted;
     },
   };
 };
 
-// The holder's process is stopped by its machine for longer than its term and then goes on where it
-// was. A user would see the platform get orders from two processes that contradict each other.
-test('a holder frozen beyond its term holds nothing when it resumes', async (t) => {
+// The holder's process is suspended for longer than its term and then resumes where it stopped. The
+// platform would receive contradictory orders from two processes.
+test('a holder that is suspended beyond its term no longer holds the lease when it resumes', async (t) => {
   const log = newMemoryLog();
-  const frozen = newManualClock();
-  const running = newManualClock();
-  const first = newContender(log, frozen, 'first');
-  await frozen.advance(1_000);
+  const suspendedClock = newManualClock();
+  const runningClock = newManualClock();
+  const first = newContender(log, suspendedClock, 'first');
+  await suspendedClock.advance(1_000);
   t.truthy(first.lease.holdFor(0));
-  const second = newContender(log, running, 'second');
-  await running.advance(LEASE_TERM_MS - 1_000);
+  const second = newContender(log, runningClock, 'second');
+  await runningClock.advance(LEASE_TERM_MS - 1_000);
   t.is(second.lease.holdFor(0), null);
-  await running.advance(LEASE_MARGIN_MS + 2_000);
+  await runningClock.advance(LEASE_MARGIN_MS + 2_000);
   const held = second.lease.holdFor(0);
   t.truthy(held);
-  // The frozen process's monotonic clock has gone on without it; its first look finds the term over.
-  frozen.jump(LEASE_TERM_MS + 1_500);
+  // The suspended process's monotonic clock has advanced, so its first check finds the term ended.
+  suspendedClock.jump(LEASE_TERM_MS + 1_500);
   t.is(first.lease.holdFor(0), null);
-  await frozen.advance(500);
-  await running.advance(500);
+  await suspendedClock.advance(500);
+  await runningClock.advance(500);
   t.is(first.lease.holdFor(0), null);
   t.truthy(second.lease.holdFor(0));
   t.true((held?.fence ?? 0) > 0);
 });
 
-// A claim's answer is lost and the record lands long after another process took the lease. A user
-// would see the lease jump back to a process that gave up on it.
-test('a claim that lands late takes nothing from the present holder', async (t) => {
+// A claim is unanswered and is appended long after another process took the lease. The lease would
+// move back to a process that no longer expects to hold it.
+test('a claim that is appended late does not affect the current holder', async (t) => {
   const log = newMemoryLog();
   const clock = newManualClock();
-  let isHeldBack = true;
+  let isDelayed = true;
   log.fate = (bodies) =>
-    isHeldBack && bodies.some((body) => body.includes('"holder":"slow"')) ? 'lands-late' : 'lands';
+    isDelayed && bodies.some((body) => body.includes('"holder":"slow"')) ? 'lands-late' : 'lands';
   const slow = newContender(log, clock, 'slow');
   await clock.advance(1_000);
   const quick = newContender(log, clock, 'quick', 50);
   await clock.advance(1_000);
   t.truthy(quick.lease.holdFor(0));
-  isHeldBack = false;
+  isDelayed = false;
   log.landLate();
   await clock.advance(500);
   t.is(slow.lease.holdFor(0), null);
   t.truthy(quick.lease.holdFor(0));
 });
 
-// The platform's log is out for longer than a term. The holder can't renew, so it must stop by
-// itself; nobody may take over until the log is back to decide.
-test('an outage of the log ends a lease on time and gives it to nobody else', async (t) => {
+// The platform's log is unavailable for longer than a term. The holder cannot renew, so its lease
+// must expire. No other process may take over until the log is available again.
+test('during an outage of the log a lease expires on time and no other process acquires it', async (t) => {
   const log = newMemoryLog();
   const clock = newManualClock();
   const first = newContender(log, clock, 'first');
@@ -119,9 +119,9 @@
   t.is(holders.length, 1);
 });
 
-// Somebody sets the machine's clock back or forward by an hour. A lease that looked at the wall clock
-// would end at once or last for an hour too long.
-test('a step of the wall clock changes no lease', async (t) => {
+// The machine's wall clock is set back or forward by an hour. A lease that depended on it would end
+// at once or last an hour too long.
+test('a step of the wall clock does not affect a lease', async (t) => {
   const log = newMemoryLog();
   const clock = newManualClock();
   const { lease } = newContender(log, clock, 'first');
@@ -134,7 +134,7 @@
   t.truthy(lease.holdFor(0));
 });
 
-test('a lease that is given back is taken over without waiting for its term', async (t) => {
+test('a released lease is taken over without waiting for its term to end', async (t) => {
   const log = newMemoryLog();
   const clock = newManualClock();
   const first = newContender(log, clock, 'first');
@@ -147,11 +147,11 @@
   t.is(first.lease.holdFor(0), null);
 });
 
-// Freezes, lost answers, late landings and outages come in any order. Whatever they are, the platform
-// must never get orders from two processes that both believe they are in charge.
-test('never two holders at one time, whatever fails in whatever order', async (t) => {
+// Paused readers, lost answers, late appends and outages occur in any order. The platform must
+// never receive orders from two holders.
+test('there are never two holders at the same time under any sequence of faults', async (t) => {
   const fault = fc.constantFrom(
-    ...(['none', 'answer-lost', 'lands-late', 'refused', 'down', 'land', 'deaf'] as const),
+    ...(['none', 'answer-lost', 'lands-late', 'refused', 'down', 'land', 'reads-paused'] as const),
   );
   await fc.assert(
     fc.asyncProperty(fc.array(fc.tuple(fault, fc.nat(4_000)), { maxLength: 12 }), async (plan) => {
@@ -165,8 +165,8 @@
         if (kind === 'land') log.landLate();
         const isAppendFault = kind === 'answer-lost' || kind === 'lands-late' || kind === 'refused';
         log.fate = () => (isAppendFault ? kind : 'lands');
-        contenders.forEach(({ lease, setDeaf }) =>
-          setDeaf(kind === 'deaf' && lease.holdFor(0) !== null),
+        contenders.forEach(({ lease, setReadPaused }) =>
+          setReadPaused(kind === 'reads-paused' && lease.holdFor(0) !== null),
         );
         for (let spent = 0; spent <= forMs; spent += 250) {
           await clock.advance(250);
--- a/packages/coordination/tests/recordHelpers.ts
+++ b/packages/coordination/tests/recordHelpers.ts
@@ -1,20 +1,20 @@
 import { RECORD_VERSION } from '../src/systemRecord.js';
 import type { SystemRecord } from '../src/systemRecord.js';
 
-let written = 0;
+let recordCount = 0;
 
-/** A record as a process writes it, under a fresh id unless one is given. */
-export const bodyOf = (record: SystemRecord, id?: string, writer = 'test'): string => {
-  written += 1;
+/** The body of a record as a process writes it, with a new id unless one is given. */
+export const newBody = (record: SystemRecord, id?: string, writer = 'test'): string => {
+  recordCount += 1;
   return JSON.stringify({
     version: RECORD_VERSION,
-    id: id ?? `id-${written}`,
+    id: id ?? `id-${recordCount}`,
     writer,
     record,
   });
 };
 
-/** Root settings with one operator, one customer and one trainer, as subtrees of a change. */
+/** Root settings with one operator, customer, key, service and trainer. */
 export const rootSubtree = {
   operators: [{ id: 'admin', paths: ['/'] }],
   customers: [{ id: 'players' }],
@@ -23,8 +23,8 @@
   trainers: [{ id: 'trainer', customer: 'players', service: 'tone', stalenessBoundVersions: 1 }],
 };
 
-/** A change of one subtree. */
-export const changeOf = (
+/** A settings change of one subtree. */
+export const newChange = (
   path: string,
   basedOn: number,
   subtree: unknown,
--- a/scripts/naive.js
+++ b/scripts/naive.js
@@ -24,10 +24,10 @@
   [
     'a claim of a lease is always good',
     'packages/coordination/dist/src/applyLease.js',
-    'if (standing === record.basedOn)',
+    'if (current === record.basedOn)',
     'if (true)',
     'packages/coordination',
-    '*claim that lands late*',
+    '*claim that is appended late*',
   ],
   [
     'a holder does not look at its deadline',
@@ -35,7 +35,7 @@
     'held && held.deadline - neededMs > clock.now()',
     'held',
     'packages/coordination',
-    '*frozen beyond its term holds*',
+    '*suspended beyond its term*',
   ],
   [
     'others take a lease without waiting',
@@ -59,12 +59,12 @@
     'behindSince = null;\n        avoid(source);',
     'behindSince = null;',
     'packages/coordination',
-    '*leaves a relay*',
+    '*switches away from a relay*',
   ],
   [
     'usage is counted as often as it is written',
     'packages/coordination/dist/src/applyUsage.js',
-    'if (delta.sequence <= counted)',
+    'if (delta.sequence <= lastSequence)',
     'if (false)',
     'packages/usage',
     '*by its keeper counts once*',
@@ -240,8 +240,8 @@
   [
     'checkpoints by number and time alone',
     'packages/coordination/dist/src/writeCheckpoints.js',
-    'return isNearEnd ||',
-    'return',
+    'return (isNearRetentionLimit ||',
+    'return (',
     'apps/control',
     '*new set of hosts*',
   ],
