--- a/packages/fakes/src/callers.ts
+++ b/packages/fakes/src/callers.ts
@@ -1,23 +1,23 @@
 import { request } from 'undici';
 
-/** A caller's answer, read to its end. */
-export interface CallerAnswer {
+/** A response to a caller, with its complete body. */
+export interface CallerResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   text: string;
 }
 
-/** The demo key of a customer of the example settings. */
+/** Returns the API key that the example settings define for a customer. */
 export const keyOf = (customer: string): string => `cgk_demo-${customer}`;
 
-/** Sends JSON with a customer's key and reads the whole answer. */
+/** Sends JSON with a customer's key and reads the complete response. */
 export const post = async (
   url: string,
   customer: string,
   body: unknown,
   headers: Record<string, string> = {},
-): Promise<CallerAnswer> => {
-  const answer = await request(url, {
+): Promise<CallerResponse> => {
+  const response = await request(url, {
     method: 'POST',
     headers: {
       authorization: `Bearer ${keyOf(customer)}`,
@@ -26,9 +26,9 @@
     },
     body: JSON.stringify(body),
   });
-  const text = await answer.body.text();
-  return { status: answer.statusCode, headers: answer.headers, text };
+  const text = await response.body.text();
+  return { status: response.statusCode, headers: response.headers, text };
 };
 
-/** Whether a streamed answer came to its proper end. */
-export const isWhole = ({ text }: CallerAnswer): boolean => text.endsWith('data: [DONE]\n\n');
+/** Whether a streamed response ended with the `[DONE]` event instead of being truncated. */
+export const isWhole = ({ text }: CallerResponse): boolean => text.endsWith('data: [DONE]\n\n');
--- a/packages/fakes/src/findPort.ts
+++ b/packages/fakes/src/findPort.ts
@@ -1,9 +1,9 @@
 import { createServer } from 'node:net';
 import type { Server } from 'node:net';
 
-/** Below the range from which systems take the ports of outgoing connections. */
+/** First of the ports to choose from, all below the range that systems use for outgoing connections. */
 const FIRST_PORT = 12_000;
-const PAIRS = 9_000;
+const PORT_PAIRS = 9_000;
 
 const listenOn = (port: number): Promise<Server | null> =>
   new Promise((resolve) => {
@@ -18,21 +18,21 @@
   });
 
 /**
- * A port of the loopback address for a program that is started next.
+ * Finds a free loopback port for a program that the caller is about to start.
  *
- * Between the choice of a port and the program's own listening another test's connection, or another
- * test's program, could take it: the program would not start, and its test give up waiting. So ports
- * lie outside the range for connections, and with each goes its neighbour, which this process keeps
- * open to its end: no other process or thread is given the same one meanwhile.
+ * Until the program listens, another test's connection or program could take the port; the program
+ * would then fail to start and its test would time out. Ports are therefore outside the range for
+ * outgoing connections, and this process listens on the next higher port until it exits, which keeps
+ * other processes and threads from choosing the same pair.
  */
 const findPort = async (): Promise<number> => {
-  const port = FIRST_PORT + 2 * Math.floor(Math.random() * PAIRS);
-  const claim = await listenOn(port + 1);
-  if (!claim) return findPort();
-  claim.unref();
+  const port = FIRST_PORT + 2 * Math.floor(Math.random() * PORT_PAIRS);
+  const neighbour = await listenOn(port + 1);
+  if (!neighbour) return findPort();
+  neighbour.unref();
   const probe = await listenOn(port);
   if (!probe) {
-    await close(claim);
+    await close(neighbour);
     return findPort();
   }
   await close(probe);
--- a/packages/fakes/src/newForwarder.ts
+++ b/packages/fakes/src/newForwarder.ts
@@ -1,12 +1,13 @@
 import { connect, createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 
-/** What a forwarder does with traffic. */
+/** How a forwarder treats traffic. */
 export type ForwarderMode = 'open' | 'cut' | 'silent';
 
 /**
- * Stands between two processes and can part them: `cut` resets everything, `silent` keeps connections
- * open and lets no byte through, as a network that lost track of them does.
+ * Forwards TCP connections to a target and can simulate a network partition: `cut` resets all
+ * connections; `silent` keeps them open but drops all data, as a network that lost its connection
+ * state does.
  */
 const newForwarder = async (targetUrl: string) => {
   const { hostname, port } = new URL(targetUrl);
@@ -26,16 +27,16 @@
     from.on('close', () => to.destroy());
   };
 
-  const server = createServer((near) => {
-    track(near);
+  const server = createServer((client) => {
+    track(client);
     if (mode === 'cut') {
-      near.resetAndDestroy();
+      client.resetAndDestroy();
       return;
     }
-    const far = connect(Number(port), hostname);
-    track(far);
-    forward(near, far);
-    forward(far, near);
+    const target = connect(Number(port), hostname);
+    track(target);
+    forward(client, target);
+    forward(target, client);
   });
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
@@ -43,15 +44,15 @@
 
   return {
     url: `http://127.0.0.1:${(server.address() as AddressInfo).port}`,
-    set: (wanted: ForwarderMode): void => {
-      mode = wanted;
-      if (wanted === 'cut') sockets.forEach((socket) => socket.resetAndDestroy());
+    set: (nextMode: ForwarderMode): void => {
+      mode = nextMode;
+      if (nextMode === 'cut') sockets.forEach((socket) => socket.resetAndDestroy());
     },
-    /** New connections work again, those that are open stay silent for good. */
+    /** Forwards new connections again; connections that are already open never carry data again. */
     healNewOnly: (): void => {
-      const old = [...sockets];
-      old.forEach((socket) => socket.removeAllListeners('data'));
-      old.forEach((socket) => socket.pause());
+      const existing = [...sockets];
+      existing.forEach((socket) => socket.removeAllListeners('data'));
+      existing.forEach((socket) => socket.pause());
       mode = 'open';
     },
     close: (): void => {
--- a/packages/fakes/src/newManualClock.ts
+++ b/packages/fakes/src/newManualClock.ts
@@ -1,43 +1,43 @@
 import Clock from '@cyclamengate/common/Clock';
 
-interface Sleeper {
+interface PendingSleep {
   deadline: number;
   resolve: () => void;
 }
 
-/** Rounds of the event loop that let woken tasks run on before time moves again. */
-const TURNS_PER_MOVE = 20;
+/** Turns of the event loop in which resumed tasks can run before time advances again. */
+const TURNS_PER_SETTLE = 20;
 
-const turn = (): Promise<void> =>
+const waitForNextTurn = (): Promise<void> =>
   new Promise((resolve) => {
     setImmediate(resolve);
   });
 
-/** Lets everything that is ready run, without moving time. */
-export const settle = async (turns = TURNS_PER_MOVE): Promise<void> => {
-  for (let count = 0; count < turns; count += 1) await turn();
+/** Lets tasks that are ready run, without advancing time. */
+export const settle = async (turns = TURNS_PER_SETTLE): Promise<void> => {
+  for (let count = 0; count < turns; count += 1) await waitForNextTurn();
 };
 
 export interface ManualClock extends Clock {
-  /** Moves time on, waking sleepers one deadline after the other. */
+  /** Advances time, resolving pending sleeps in the order of their deadlines. */
   advance: (byMs: number) => Promise<void>;
-  /** Moves time on while this process stands still: nothing wakes until the next advance. */
+  /** Advances time as if the process were suspended: sleeps are resolved only by the next `advance`. */
   jump: (byMs: number) => void;
-  /** Steps the wall clock alone, as an administrator or a time service does. */
+  /** Steps only the wall clock, as an administrator or a time service does. */
   stepWall: (byMs: number) => void;
 }
 
-/** A clock that moves only when a test moves it. */
+/** A clock whose time advances only when a test advances it. */
 export const newManualClock = (startWall = 1_800_000_000_000): ManualClock => {
   let time = 1_000;
   let wallOffset = startWall - time;
-  const sleepers = new Set<Sleeper>();
+  const pendingSleeps = new Set<PendingSleep>();
 
-  const wakeDue = (): void =>
-    sleepers.forEach((sleeper) => {
-      if (sleeper.deadline > time) return;
-      sleepers.delete(sleeper);
-      sleeper.resolve();
+  const resolveDueSleeps = (): void =>
+    pendingSleeps.forEach((pendingSleep) => {
+      if (pendingSleep.deadline > time) return;
+      pendingSleeps.delete(pendingSleep);
+      pendingSleep.resolve();
     });
 
   class FakeClock extends Clock implements ManualClock {
@@ -55,20 +55,20 @@
           resolve();
           return;
         }
-        const woken = new AbortController();
-        const sleeper = {
+        const resolved = new AbortController();
+        const pendingSleep = {
           deadline,
           resolve: (): void => {
-            woken.abort();
+            resolved.abort();
             resolve();
           },
         };
         const onAbort = (): void => {
-          sleepers.delete(sleeper);
+          pendingSleeps.delete(pendingSleep);
           resolve();
         };
-        sleepers.add(sleeper);
-        signal?.addEventListener('abort', onAbort, { once: true, signal: woken.signal });
+        pendingSleeps.add(pendingSleep);
+        signal?.addEventListener('abort', onAbort, { once: true, signal: resolved.signal });
       });
     }
 
@@ -76,9 +76,9 @@
       const end = time + byMs;
       await settle();
       while (time < end) {
-        const next = Math.min(end, ...[...sleepers].map(({ deadline }) => deadline));
+        const next = Math.min(end, ...[...pendingSleeps].map(({ deadline }) => deadline));
         time = Math.max(time, next);
-        wakeDue();
+        resolveDueSleeps();
         await settle();
       }
     }
--- a/packages/fakes/src/newMemoryLog.ts
+++ b/packages/fakes/src/newMemoryLog.ts
@@ -4,28 +4,34 @@
 import type { PlatformFault } from '@cyclamengate/platform/platformFault';
 import PlatformLog from '@cyclamengate/platform/PlatformLog';
 
-/** What happens to one append. */
-export type AppendFate = 'lands' | 'answer-lost' | 'lands-late' | 'refused';
+/**
+ * The simulated outcome of an append.
+ * - `lands`: the records are written and the append succeeds
+ * - `answer-lost`: the records are written, but the caller gets `unknown`
+ * - `lands-late`: the records are written by `landLate`; the caller gets `unknown`
+ * - `refused`: the records are not written and the caller gets `refused`
+ */
+export type AppendOutcome = 'lands' | 'answer-lost' | 'lands-late' | 'refused';
 
 export interface MemoryLog extends PlatformLog {
   records: LogRecord[];
   isDown: boolean;
-  /** Decides each append's fate; by default it lands. */
-  fate: (bodies: string[]) => AppendFate;
-  /** Lets the appends that were held back land now, in the order given. */
+  /** Chooses the outcome of each append; `lands` by default. */
+  fate: (bodies: string[]) => AppendOutcome;
+  /** Writes the appends that `lands-late` delayed, in the order in which they were made. */
   landLate: () => void;
-  /** Forgets all records before an offset, as retention does. */
-  forgetBefore: (offset: number) => void;
-  /** Appends as another process would, past every fault. */
+  /** Removes all records before an offset, as the log's retention does. */
+  trimBefore: (offset: number) => void;
+  /** Appends a record as another process would, unaffected by the simulated faults. */
   put: (body: string) => number;
 }
 
 const PAGE_RECORDS = 512;
 
-/** The platform's log in memory, with its faults under the test's control. */
+/** An in-memory platform log whose faults a test controls. */
 export const newMemoryLog = (wallTime: () => number = () => 0): MemoryLog => {
   let end = 0;
-  let held: string[][] = [];
+  let delayed: string[][] = [];
 
   const put = (log: MemoryLog, body: string): number => {
     log.records.push({ offset: end, at: wallTime(), body });
@@ -38,7 +44,7 @@
 
     isDown = false;
 
-    fate: (bodies: string[]) => AppendFate = () => 'lands';
+    fate: (bodies: string[]) => AppendOutcome = () => 'lands';
 
     async append(bodies: string[]): Promise<Result<number, PlatformFault>> {
       if (this.isDown) return Err('not-sent');
@@ -46,7 +52,7 @@
         case 'refused':
           return Err('refused');
         case 'lands-late':
-          held.push(bodies);
+          delayed.push(bodies);
           return Err('unknown');
         case 'answer-lost':
           bodies.forEach((body) => put(this, body));
@@ -66,12 +72,12 @@
     }
 
     landLate(): void {
-      const landing = held;
-      held = [];
-      landing.flat().forEach((body) => put(this, body));
+      const due = delayed;
+      delayed = [];
+      due.flat().forEach((body) => put(this, body));
     }
 
-    forgetBefore(offset: number): void {
+    trimBefore(offset: number): void {
       this.records = this.records.filter((record) => record.offset >= offset);
     }
 
--- a/packages/fakes/src/newProcesses.ts
+++ b/packages/fakes/src/newProcesses.ts
@@ -7,14 +7,14 @@
 import { request } from 'undici';
 import findPort from './findPort.js';
 
-/** The project's folder. */
+/** The root folder of the repository. */
 export const ROOT = fileURLToPath(new URL('../../../../', import.meta.url));
 const READY_TIMEOUT_MS = 60_000;
-const POLL_MS = 50;
-/** How much of what a program said goes into the error of a test that waits for it in vain. */
-const SAID_CHARS = 1_000;
+const POLL_INTERVAL_MS = 50;
+/** Length of the program's last output in the error when the program does not become ready. */
+const MAX_ERROR_OUTPUT_CHARS = 1_000;
 
-/** A daemon that was started for a test, the demo or a measurement. */
+/** A daemon started for a test, the demo or a measurement. */
 export interface StartedDaemon {
   id: string;
   url: string;
@@ -31,9 +31,9 @@
   seeds?: string[];
   entries?: string[];
   usageWindowSeconds?: number;
-  /** Flags of the runtime, e.g. limits of its heap. */
+  /** Flags of the Node.js runtime, e.g. heap limits. */
   nodeArgs?: string[];
-  /** Addresses of the platform that differ from the usual one, by service. */
+  /** URLs by platform service, for the services that are not at the default platform URL. */
   platform?: Record<string, string>;
 }
 
@@ -42,35 +42,35 @@
     setTimeout(resolve, delayMs);
   });
 
-/** Waits for a condition, however long it takes within a generous limit. */
+/** Polls until a condition holds; throws after the timeout. A check that throws counts as false. */
 export const waitUntil = async (
-  what: string,
+  condition: string,
   check: () => Promise<boolean>,
   timeoutMs = READY_TIMEOUT_MS,
 ): Promise<void> => {
   const deadline = performance.now() + timeoutMs;
   while (performance.now() < deadline) {
     if (await check().catch(() => false)) return;
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
-  throw new Error(`gave up waiting: ${what}`);
+  throw new Error(`timed out waiting for: ${condition}`);
 };
 
 const isOk = async (url: string): Promise<boolean> => {
-  const answer = await request(url);
-  await answer.body.dump();
-  return answer.statusCode === 200;
+  const response = await request(url);
+  await response.body.dump();
+  return response.statusCode === 200;
 };
 
-const programOf = (app: string): string => join(ROOT, 'apps', app, 'bin', 'main.js');
+const programPath = (app: string): string => join(ROOT, 'apps', app, 'bin', 'main.js');
 
-/** The product's programs as child processes, with their settings in a folder that goes with them. */
+/** Starts the project's programs as child processes, with their settings in a temporary folder. */
 const newProcesses = async () => {
   const folder = await mkdtemp(join(tmpdir(), 'cyclamengate-'));
   const children = new Set<ChildProcess>();
 
   const start = (app: string, args: string[], nodeArgs: string[] = []): ChildProcess => {
-    const child = spawn(process.execPath, [...nodeArgs, programOf(app), ...args], {
+    const child = spawn(process.execPath, [...nodeArgs, programPath(app), ...args], {
       stdio: ['ignore', 'ignore', 'pipe'],
     });
     children.add(child);
@@ -78,10 +78,10 @@
     return child;
   };
 
-  /** Runs a program to its end and gives what it printed. */
+  /** Runs a program until it exits and returns its status and output. */
   const run = (app: string, args: string[]): Promise<FinishedRun> =>
     new Promise((resolve) => {
-      const child = spawn(process.execPath, [programOf(app), ...args], {
+      const child = spawn(process.execPath, [programPath(app), ...args], {
         stdio: ['ignore', 'pipe', 'pipe'],
       });
       const output: Buffer[] = [];
@@ -101,7 +101,7 @@
     return { url, child };
   };
 
-  /** Starts a daemon with settings of its own and waits until it listens. */
+  /** Writes a settings file for a daemon, starts the daemon and waits until it listens. */
   const startDaemon = async (
     app: string,
     id: string,
@@ -123,14 +123,16 @@
       ...options,
     };
     const path = join(folder, `${id}.yaml`);
-    // Every JSON text is YAML.
+    // JSON is valid YAML.
     await writeFile(path, JSON.stringify(settings));
     const child = start(app, ['--settings', path], nodeArgs);
     const output: string[] = [];
     child.stderr?.on('data', (chunk: Buffer) => output.push(chunk.toString()));
     const url = `http://127.0.0.1:${listen}`;
     await waitUntil(id, () => isOk(`${url}/live`)).catch((error: Error) => {
-      throw new Error(`${error.message}; it said: ${output.join('').slice(-SAID_CHARS)}`);
+      throw new Error(
+        `${error.message}; last output: ${output.join('').slice(-MAX_ERROR_OUTPUT_CHARS)}`,
+      );
     });
     return { id, url, peerUrl: `http://127.0.0.1:${peer}`, child, output };
   };
--- a/packages/fakes/src/newRawSender.ts
+++ b/packages/fakes/src/newRawSender.ts
@@ -2,10 +2,10 @@
 import { connect } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 
-const PART_BYTES = 200_000;
-const BETWEEN_PARTS_MS = 10;
+const CHUNK_BYTES = 200_000;
+const CHUNK_INTERVAL_MS = 10;
 
-/** Sends bytes of its own, and writes on when the server has ended its side, as HTTP clients do. */
+/** Sends raw bytes and keeps writing after the server has ended its side, as HTTP clients do. */
 const newRawSender = async (host: string, port: number) => {
   const socket = connect({ host, port, allowHalfOpen: true });
   const faults: string[] = [];
@@ -22,17 +22,17 @@
     socket,
     faults,
     closed,
-    /** What has come since it was asked last. */
+    /** Returns the text received since the last call. */
     takeText: (): string => {
       const taken = text;
       text = '';
       return taken;
     },
-    /** Writes a body in parts and ends, whatever comes back meanwhile. */
+    /** Writes a body of zero bytes in chunks, then ends the socket, whatever the server sends meanwhile. */
     writeBody: async (bytes: number): Promise<void> => {
-      for (let sent = 0; sent < bytes; sent += PART_BYTES) {
-        socket.write(Buffer.alloc(Math.min(PART_BYTES, bytes - sent)));
-        await sleep(BETWEEN_PARTS_MS);
+      for (let sent = 0; sent < bytes; sent += CHUNK_BYTES) {
+        socket.write(Buffer.alloc(Math.min(CHUNK_BYTES, bytes - sent)));
+        await sleep(CHUNK_INTERVAL_MS);
       }
       socket.end();
     },
--- a/packages/fakes/src/newSystem.ts
+++ b/packages/fakes/src/newSystem.ts
@@ -11,9 +11,9 @@
 import type { DaemonOptions, StartedDaemon } from './newProcesses.js';
 
 const DOMAINS = ['nafplio-a', 'nafplio-b', 'argos-c'];
-const EXAMPLE = join(ROOT, 'examples/papadakis.yaml');
+const EXAMPLE_PATH = join(ROOT, 'examples/papadakis.yaml');
 
-/** The example deployment as real processes, before a platform stand-in in the test's process. */
+/** Runs the example deployment as real processes, with a platform stand-in in the test's process. */
 const newSystem = async (
   entries: number,
   standinOptions: Partial<PlatformStandinOptions> = {},
@@ -24,11 +24,16 @@
   const forwarders: Forwarder[] = [];
   const daemons: Awaited<ReturnType<typeof processes.startDaemon>>[] = [];
 
-  const startOne = async (app: string, id: string, domain: number, options: DaemonOptions = {}) => {
+  const startOne = async (
+    app: string,
+    id: string,
+    domainIndex: number,
+    options: DaemonOptions = {},
+  ) => {
     const started = await processes.startDaemon(
       app,
       id,
-      DOMAINS[domain % 3] as string,
+      DOMAINS[domainIndex % 3] as string,
       platform.url,
       {
         usageWindowSeconds: 2,
@@ -47,44 +52,46 @@
   const control = await startOne('control', 'control-1', 0);
   const first = daemons[0]!;
 
-  /** Starts a daemon that reaches the platform through a forwarder, which can be cut. */
+  /** Starts a daemon whose connections to the platform pass through a forwarder. */
   const startBehindForwarder = async (
     app: string,
     id: string,
-    domain: number,
+    domainIndex: number,
     options: DaemonOptions = {},
   ) => {
     const forwarder = await newForwarder(platform.url);
     forwarders.push(forwarder);
     const services = ['log', 'orders', 'reports', 'hosts'];
-    const through = Object.fromEntries(services.map((service) => [service, forwarder.url]));
-    const daemon = await startOne(app, id, domain, { ...options, platform: through });
+    const throughForwarder = Object.fromEntries(
+      services.map((service) => [service, forwarder.url]),
+    );
+    const daemon = await startOne(app, id, domainIndex, { ...options, platform: throughForwarder });
     return { forwarder, daemon };
   };
 
-  const readExample = (): Promise<string> => readFile(EXAMPLE, 'utf8');
+  const readExample = (): Promise<string> => readFile(EXAMPLE_PATH, 'utf8');
 
-  /** The example settings with one text replaced everywhere. */
-  const exampleWith = async (text: string, by: string): Promise<string> => {
+  /** Returns the example settings with every occurrence of a text replaced. */
+  const exampleWith = async (text: string, replacement: string): Promise<string> => {
     const example = await readExample();
-    if (!example.includes(text)) throw new Error(`the example has no ${text}`);
-    return example.replaceAll(text, by);
+    if (!example.includes(text)) throw new Error(`the example settings do not contain ${text}`);
+    return example.replaceAll(text, replacement);
   };
 
-  /** The example settings with a customer's key withdrawn. */
+  /** Returns the example settings with a customer's key withdrawn. */
   const exampleWithoutKey = async (customer: string): Promise<string> => {
     const line = `digest: ${digest(keyOf(customer))}`;
     return (await readExample()).replace(line, `${line}\n        withdrawn: true`);
   };
 
-  /** Appends records of somebody else's, so that the log's retention moves on. */
+  /** Appends records of an unrelated writer, so that the log's retention drops older records. */
   const appendForeign = async (count: number): Promise<void> => {
     const bodies = Array.from({ length: count }, () => '{"foreign":true}');
-    const answer = await request(`${platform.url}/log/append`, {
+    const response = await request(`${platform.url}/log/append`, {
       method: 'POST',
       body: JSON.stringify({ bodies }),
     });
-    await answer.body.dump();
+    await response.body.dump();
   };
 
   const publish = async (yaml: string, operator = 'platform-admin', wait = 30) => {
@@ -108,7 +115,7 @@
   const publishExample = () =>
     processes.run('cli', [
       'publish',
-      EXAMPLE,
+      EXAMPLE_PATH,
       '--operator',
       'platform-admin',
       '--log',
@@ -122,23 +129,23 @@
   const complete = (
     entry: StartedDaemon,
     customer: string,
-    more: Record<string, unknown> = {},
+    fields: Record<string, unknown> = {},
     headers: Record<string, string> = {},
   ) =>
     post(
       `${entry.url}/v1/completions`,
       customer,
-      { model: 'tone-assistant', prompt: 'low D rings', max_tokens: 8, stream: true, ...more },
+      { model: 'tone-assistant', prompt: 'low D rings', max_tokens: 8, stream: true, ...fields },
       headers,
     );
 
-  /** Publishes the example and waits until every entry serves. */
+  /** Publishes the example settings and waits until every entry serves requests. */
   const begin = async (): Promise<void> => {
     const published = await publishExample();
     if (published.status !== 0) throw new Error(published.text);
-    const own = daemons.filter(({ id }) => id.startsWith('entry'));
+    const entryDaemons = daemons.filter(({ id }) => id.startsWith('entry'));
     await Promise.all(
-      own.map((entry) =>
+      entryDaemons.map((entry) =>
         waitUntil(`${entry.id} serves`, async () => isWhole(await complete(entry, 'players'))),
       ),
     );
