--- a/packages/harness/src/newLogHost.ts
+++ b/packages/harness/src/newLogHost.ts
@@ -7,19 +7,19 @@
 import type { ManualClock } from '@cyclamengate/fakes/newManualClock';
 import type { MemoryLog } from '@cyclamengate/fakes/newMemoryLog';
 
-const READ_EVERY_MS = 20;
+const READ_INTERVAL_MS = 20;
 const APPENDS_PER_SECOND = 50;
 
 export interface LogHost {
   follower: Follower;
   writer: LogWriter;
   metrics: Metrics;
-  /** Aborted when the process is gone. */
+  /** Aborted by `kill`. */
   signal: AbortSignal;
   kill: () => void;
 }
 
-/** A host for tests: it follows the log and writes to it, on a clock that the test moves. */
+/** A host for tests that follows the log and writes to it, on a clock that the test advances. */
 const newLogHost = (log: MemoryLog, clock: ManualClock, name: string): LogHost => {
   const follower = newFollower(clock);
   const metrics = newMetrics();
@@ -38,7 +38,7 @@
     while (!stop.signal.aborted) {
       const page = await log.read(follower.next());
       if (page.ok) follower.ingest({ ...page.val, logFirst: 0, ageMs: 0 });
-      await clock.sleepUntil(clock.now() + READ_EVERY_MS, stop.signal);
+      await clock.sleepUntil(clock.now() + READ_INTERVAL_MS, stop.signal);
     }
   };
   read().catch(() => undefined);
