--- a/apps/standin/src/engineOptions.ts
+++ b/apps/standin/src/engineOptions.ts
@@ -3,10 +3,10 @@
   id: string;
   slots: number;
   tokenDelayMs: number;
-  /** Time to read a prompt whose prefix is not cached. */
+  /** Prefill time of a prompt whose prefix is not cached. */
   prefillMs: number;
-  /** Prompt prefixes that fit into its cache. */
+  /** Capacity of the prefix cache. */
   prefixesCached: number;
-  /** Time to load a version of weights. */
+  /** Time to load one version of the weights. */
   loadMs: number;
 }
--- a/apps/standin/src/faultSwitches.ts
+++ b/apps/standin/src/faultSwitches.ts
@@ -1,19 +1,19 @@
 import { z } from 'zod';
 
 /**
- * What a stand-in can be told to do wrong.
+ * Faults that can be switched on in a stand-in.
  * - `down`: resets every connection
- * - `slow`: answers late by `delayMs`
- * - `lose-answer`: does what was asked, then resets the connection
- * - `silent`: takes the request and never answers
- * - `ignore-fence`: takes orders with an old fencing number
- * - `fail-swap`: a weight swap ends half way, with no version in force
- * - `cross-answers`: answers with another request's id
- * - `cut-answers`: ends an answer in good order before it is whole
+ * - `slow`: delays each response by `delayMs`
+ * - `lose-answer`: processes the request, then resets the connection instead of responding
+ * - `silent`: accepts the request and never responds
+ * - `ignore-fence`: accepts orders with a stale fencing token
+ * - `fail-swap`: a load of weights fails and leaves the trainer without a loaded version
+ * - `cross-answers`: responds with the id of another request
+ * - `cut-answers`: ends a streamed response cleanly before it is complete
  * - `lag-load`: reports the load as it was `delayMs` ago
- * - `late-events`: tells of cache events `delayMs` after they happened
- * - `gap-events`: leaves out one cache event in three
- * - `none-available`: can start no more upstreams of this kind
+ * - `late-events`: publishes cache events `delayMs` after they occurred
+ * - `gap-events`: omits one cache event in three
+ * - `none-available`: starts no further upstreams
  */
 export const faultSchema = z.enum([
   'down',
@@ -33,34 +33,34 @@
 export type Fault = z.infer<typeof faultSchema>;
 
 export const faultSwitchSchema = z.strictObject({
-  /** `log`, `orders`, `reports`, `hosts`, `weights` or an upstream's id. */
+  /** `log`, `orders`, `reports`, `hosts`, `weights` or the id of an upstream. */
   target: z.string(),
   fault: faultSchema,
   isOn: z.boolean().default(true),
-  /** It ends by itself after so many uses; -1 for never. */
+  /** Number of uses after which the fault switches itself off; -1 for no limit. */
   times: z.int().default(-1),
   delayMs: z.int().min(0).default(1_000),
 });
 
 export type FaultSwitch = z.infer<typeof faultSwitchSchema>;
 
-/** The faults that are switched on. */
+/** Holds the faults that are switched on. */
 export const newFaultSwitches = () => {
   const switches = new Map<string, FaultSwitch>();
-  const nameOf = (target: string, fault: Fault): string => `${target} ${fault}`;
+  const switchKey = (target: string, fault: Fault): string => `${target} ${fault}`;
 
   return {
     set: (wanted: FaultSwitch): void => {
-      const name = nameOf(wanted.target, wanted.fault);
-      if (wanted.isOn) switches.set(name, { ...wanted });
-      else switches.delete(name);
+      const key = switchKey(wanted.target, wanted.fault);
+      if (wanted.isOn) switches.set(key, { ...wanted });
+      else switches.delete(key);
     },
-    /** The switch, if it is on; counts the use. */
+    /** Returns the switch of a fault that is on and counts one use of it, or null. */
     use: (target: string, fault: Fault): FaultSwitch | null => {
-      const found = switches.get(nameOf(target, fault));
+      const found = switches.get(switchKey(target, fault));
       if (!found) return null;
       if (found.times > 0) found.times -= 1;
-      if (found.times === 0) switches.delete(nameOf(target, fault));
+      if (found.times === 0) switches.delete(switchKey(target, fault));
       return found;
     },
   };
--- a/apps/standin/src/newEngineStandin.ts
+++ b/apps/standin/src/newEngineStandin.ts
@@ -6,19 +6,19 @@
 import polka from 'polka';
 import { z } from 'zod';
 import type { EngineOptions } from './engineOptions.js';
-import { faulty, readJson } from './faulty.js';
+import { readJson, withFaults } from './withFaults.js';
 import newPrefixCache from './newPrefixCache.js';
 import type { Fault, FaultSwitch, FaultSwitches } from './faultSwitches.js';
 
 /** A prompt with this text crashes the engine that runs it. */
 export const CRASH_MARKER = 'CRASH-THE-ENGINE';
-/** Target of faults that the first upstream to come by takes. */
+/** Target of faults that apply to whichever upstream uses them first. */
 export const ANY_UPSTREAM = 'any-upstream';
-const LOADS_KEPT = 1_024;
-/** With gaps switched on, one event of so many is never told. */
-const GAP_EVERY = 3;
+const MAX_LOAD_SAMPLES = 1_024;
+/** With `gap-events` switched on, one of this many cache events is omitted. */
+const EVENTS_PER_GAP = 3;
 const PREFIX_CHARACTERS = 64;
-const PORTAL_DELAY_MS = 5;
+const CALL_DELAY_MS = 5;
 
 const generateSchema = z.object({
   requestId: z.string(),
@@ -34,12 +34,12 @@
 
 export interface EngineStandinOptions extends EngineOptions {
   faults: FaultSwitches;
-  /** Takes part of the weight store's rate; false when there is none left now. */
-  takeWeights: () => boolean;
+  /** Reserves one of the weight store's parallel loads; returns false if none is free. */
+  reserveWeightLoad: () => boolean;
   onCrash: () => void;
 }
 
-/** A model engine, plain service and scoring service in one, on a port of its own. */
+/** A combined model engine, plain service and scoring service on its own port. */
 const newEngineStandin = async (options: EngineStandinOptions) => {
   const { id, slots, faults } = options;
   let active = 0;
@@ -52,7 +52,7 @@
   const orders: z.infer<typeof weightsSchema>[] = [];
   const served: { requestId: string; customer: string; headers: unknown; path: string }[] = [];
 
-  /** A fault is switched on for this upstream or, whoever comes first, for any. */
+  /** Returns the fault's switch for this upstream or, failing that, for any upstream. */
   const useFault = (fault: Fault): FaultSwitch | null =>
     faults.use(id, fault) ?? faults.use(ANY_UPSTREAM, fault);
 
@@ -68,14 +68,14 @@
   const setActive = (count: number): void => {
     active = count;
     loads.push({ at: performance.now(), active });
-    if (loads.length > LOADS_KEPT) loads.shift();
+    if (loads.length > MAX_LOAD_SAMPLES) loads.shift();
   };
 
-  /** The load as it was some time ago, when lagging is switched on. */
+  /** The current load, or an earlier one if `lag-load` is switched on. */
   const reportedActive = (): number => {
-    const lag = useFault('lag-load');
-    if (!lag) return active;
-    const until = performance.now() - lag.delayMs;
+    const lagSwitch = useFault('lag-load');
+    if (!lagSwitch) return active;
+    const until = performance.now() - lagSwitch.delayMs;
     return loads.findLast(({ at }) => at <= until)?.active ?? 0;
   };
 
@@ -83,8 +83,8 @@
     const from = Number((request.query as { from?: string }).from ?? 0);
     const events = cache.read(from, useFault('late-events')?.delayMs ?? 0);
     const hasGaps = useFault('gap-events') !== null;
-    const told = events.filter(({ sequence }) => !hasGaps || sequence % GAP_EVERY !== 0);
-    return { status: 200, body: { events: told } };
+    const sent = events.filter(({ sequence }) => !hasGaps || sequence % EVENTS_PER_GAP !== 0);
+    return { status: 200, body: { events: sent } };
   };
 
   const status = () => ({
@@ -110,14 +110,14 @@
   ): Promise<void> => {
     response.writeHead(200, { 'content-type': 'text/event-stream' });
     const write = (event: unknown): boolean => response.write(`data: ${JSON.stringify(event)}\n\n`);
-    const isCrossed = useFault('cross-answers') !== null;
-    const answerId = isCrossed ? 'another-request' : requestId;
-    const words = isCrossed ? ' somebody else' : ` ${prompt.length}`;
-    const cut = useFault('cut-answers');
+    const hasWrongId = useFault('cross-answers') !== null;
+    const answerId = hasWrongId ? 'another-request' : requestId;
+    const tokenText = hasWrongId ? ' somebody else' : ` ${prompt.length}`;
+    const truncateSwitch = useFault('cut-answers');
     await prefill(prompt);
     let index = prefix.length;
     while (index < maxTokens && !response.destroyed) {
-      if (cut && index >= maxTokens / 2) {
+      if (truncateSwitch && index >= maxTokens / 2) {
         response.end();
         return;
       }
@@ -129,7 +129,7 @@
       write({
         requestId: answerId,
         index,
-        text: `${words}.${index}`,
+        text: `${tokenText}.${index}`,
         version: newestVersion(),
       });
       index += 1;
@@ -139,7 +139,7 @@
     response.end();
   };
 
-  const generate = async (request: HandlerRequest, response: ServerResponse) => {
+  const handleGenerate = async (request: HandlerRequest, response: ServerResponse) => {
     const wanted = await readJson(request, response, generateSchema);
     if (!wanted) return null;
     const { requestId, customer } = wanted;
@@ -154,7 +154,7 @@
     return null;
   };
 
-  const swap = async (trainer: string, version: number): Promise<void> => {
+  const loadVersion = async (trainer: string, version: number): Promise<void> => {
     loading[trainer] = version;
     await sleep(options.loadMs);
     delete loading[trainer];
@@ -162,19 +162,20 @@
     else versions[trainer] = version;
   };
 
-  const order = async (request: HandlerRequest, response: ServerResponse) => {
+  const handleWeightOrder = async (request: HandlerRequest, response: ServerResponse) => {
     const wanted = await readJson(request, response, weightsSchema);
     if (!wanted) return null;
-    const isOld = wanted.fence < fence && !useFault('ignore-fence');
+    const isStale = wanted.fence < fence && !useFault('ignore-fence');
     orders.push(wanted);
-    if (isOld) return { status: 409, body: { error: `fence ${fence} is newer` } };
+    if (isStale) return { status: 409, body: { error: `fence ${fence} is newer` } };
     fence = Math.max(fence, wanted.fence);
-    if (!options.takeWeights()) return { status: 429, body: { error: 'the weight store is busy' } };
-    swap(wanted.trainer, wanted.version).catch(() => undefined);
+    if (!options.reserveWeightLoad())
+      return { status: 429, body: { error: 'the weight store is busy' } };
+    loadVersion(wanted.trainer, wanted.version).catch(() => undefined);
     return { status: 200, body: status() };
   };
 
-  const runCall = async (request: HandlerRequest, response: ServerResponse) => {
+  const handleCall = async (request: HandlerRequest, response: ServerResponse) => {
     const call = await readJson(request, response, z.unknown());
     served.push({
       requestId: String(request.headers['x-request-id']),
@@ -183,7 +184,7 @@
       path: request.path,
     });
     if (isLeaving) return { status: 503, body: { error: 'not run' } };
-    await sleep(PORTAL_DELAY_MS);
+    await sleep(CALL_DELAY_MS);
     const text = JSON.stringify(call);
     return {
       status: 200,
@@ -193,18 +194,18 @@
 
   app.get(
     '/v1/status',
-    faulty(faults, `${id}-status`, async () => ({ status: 200, body: status() })),
+    withFaults(faults, `${id}-status`, async () => ({ status: 200, body: status() })),
   );
-  app.get('/v1/events', faulty(faults, `${id}-events`, readEvents));
-  app.post('/v1/generate', faulty(faults, `${id}-generate`, generate));
-  app.post('/v1/weights', faulty(faults, `${id}-weights`, order));
+  app.get('/v1/events', withFaults(faults, `${id}-events`, readEvents));
+  app.post('/v1/generate', withFaults(faults, `${id}-generate`, handleGenerate));
+  app.post('/v1/weights', withFaults(faults, `${id}-weights`, handleWeightOrder));
   app.get(
     '/served',
-    faulty(faults, `${id}-served`, async () => ({ status: 200, body: served })),
+    withFaults(faults, `${id}-served`, async () => ({ status: 200, body: served })),
   );
   app.get(
     '/call/*',
-    faulty(faults, `${id}-call`, async (request) => {
+    withFaults(faults, `${id}-call`, async (request) => {
       served.push({
         requestId: String(request.headers['x-request-id']),
         customer: String(request.headers['x-customer']),
@@ -214,7 +215,7 @@
       return { status: 200, body: { upstream: id, path: request.path } };
     }),
   );
-  app.post('/call/*', faulty(faults, `${id}-call`, runCall));
+  app.post('/call/*', withFaults(faults, `${id}-call`, handleCall));
 
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
@@ -225,7 +226,7 @@
     url: `http://127.0.0.1:${port}`,
     status,
     served: () => served,
-    /** Every weight order received, refused ones too. */
+    /** All weight orders received, including refused ones. */
     orders: () => orders,
     leave: (): void => {
       isLeaving = true;
--- a/apps/standin/src/newFleetStandin.ts
+++ b/apps/standin/src/newFleetStandin.ts
@@ -5,14 +5,14 @@
 import type { Polka } from 'polka';
 import { z } from 'zod';
 import type { EngineOptions } from './engineOptions.js';
-import { faulty, readJson } from './faulty.js';
+import { readJson, withFaults } from './withFaults.js';
 import type { FaultSwitches } from './faultSwitches.js';
 import newEngineStandin from './newEngineStandin.js';
 import type { EngineStandin } from './newEngineStandin.js';
 
-const LEAVE_MS = 5_000;
-const RECLAIM_MS = 2_000;
-const MOST_PARALLEL_LOADS = 4;
+const LEAVE_NOTICE_MS = 5_000;
+const RECLAIM_NOTICE_MS = 2_000;
+const MAX_PARALLEL_LOADS = 4;
 
 const reclaimSchema = z.object({ failureDomain: z.string() });
 const upstreamSchema = z.object({ id: z.string() });
@@ -21,7 +21,7 @@
   faults: FaultSwitches;
   engine: Omit<EngineOptions, 'id'>;
   startMs: number;
-  /** How late the host list tells of a change. */
+  /** Delay until a change appears in the host list. */
   listLagMs: number;
 }
 
@@ -30,30 +30,30 @@
   engine: EngineStandin;
 }
 
-/** The platform's order interface, host list and weight store, with the upstreams they stand for. */
+/** The platform's order interface, host list and weight store, and the upstreams that they manage. */
 const newFleetStandin = ({ faults, engine, startMs, listLagMs }: FleetOptions) => {
   const running = new Map<string, RunningUpstream>();
-  const fences = new Map<string, number>();
-  /** Every order received, refused ones too. */
+  const highestFences = new Map<string, number>();
+  /** All orders received, including refused ones. */
   const received: UpstreamOrder[] = [];
   let started = 0;
-  let loads = 0;
-  let listed: UpstreamStatus[] = [];
+  let activeLoads = 0;
+  let hostList: UpstreamStatus[] = [];
 
   const statuses = (): UpstreamStatus[] => [...running.values()].map(({ status }) => status);
 
-  const publish = (): void => {
+  const publishHostList = (): void => {
     const snapshot = statuses().map((status) => ({ ...status }));
     setTimeout(() => {
-      listed = snapshot;
+      hostList = snapshot;
     }, listLagMs).unref();
   };
 
-  const takeWeights = (): boolean => {
-    if (loads >= MOST_PARALLEL_LOADS) return false;
-    loads += 1;
+  const reserveWeightLoad = (): boolean => {
+    if (activeLoads >= MAX_PARALLEL_LOADS) return false;
+    activeLoads += 1;
     setTimeout(() => {
-      loads -= 1;
+      activeLoads -= 1;
     }, engine.loadMs).unref();
     return true;
   };
@@ -61,7 +61,7 @@
   const remove = (id: string): void => {
     running.get(id)?.engine.close();
     running.delete(id);
-    publish();
+    publishHostList();
   };
 
   const start = async ({ service, failureDomain, kind }: UpstreamOrder): Promise<void> => {
@@ -71,10 +71,10 @@
       ...engine,
       id,
       faults,
-      takeWeights,
+      reserveWeightLoad,
       onCrash: () => {
         running.delete(id);
-        publish();
+        publishHostList();
       },
     });
     const status: UpstreamStatus = {
@@ -87,77 +87,77 @@
       reclaimed: false,
     };
     running.set(id, { status, engine: standin });
-    publish();
+    publishHostList();
     await sleep(startMs);
     if (status.state === 'starting') status.state = 'live';
-    publish();
+    publishHostList();
   };
 
-  const stop = ({ status, engine: leaving }: RunningUpstream, inMs: number): void => {
+  const stop = ({ status, engine: leaving }: RunningUpstream, noticeMs: number): void => {
     status.state = 'leaving';
     leaving.leave();
-    publish();
-    setTimeout(() => remove(status.id), inMs).unref();
+    publishHostList();
+    setTimeout(() => remove(status.id), noticeMs).unref();
   };
 
-  const place = async (order: UpstreamOrder): Promise<boolean> => {
+  const applyOrder = async (order: UpstreamOrder): Promise<boolean> => {
     received.push(order);
-    const fence = fences.get(order.failureDomain) ?? -1;
+    const fence = highestFences.get(order.failureDomain) ?? -1;
     if (order.fence < fence && !faults.use('orders', 'ignore-fence')) return false;
-    fences.set(order.failureDomain, Math.max(fence, order.fence));
-    const own = [...running.values()].filter(
+    highestFences.set(order.failureDomain, Math.max(fence, order.fence));
+    const matching = [...running.values()].filter(
       ({ status }) =>
         status.service === order.service &&
         status.kind === order.kind &&
         status.failureDomain === order.failureDomain &&
         status.state !== 'leaving',
     );
-    own.slice(order.wanted).forEach((surplus) => stop(surplus, LEAVE_MS));
-    const isShort = faults.use('orders', 'none-available') !== null;
-    const missing = isShort ? 0 : Math.max(0, order.wanted - own.length);
-    const before = running.size;
+    matching.slice(order.wanted).forEach((surplus) => stop(surplus, LEAVE_NOTICE_MS));
+    const isNoneAvailable = faults.use('orders', 'none-available') !== null;
+    const missing = isNoneAvailable ? 0 : Math.max(0, order.wanted - matching.length);
+    const runningBefore = running.size;
     for (let count = 0; count < missing; count += 1) start(order).catch(() => undefined);
-    while (running.size < before + missing) await sleep(1);
+    while (running.size < runningBefore + missing) await sleep(1);
     return true;
   };
 
-  /** Takes back all cheap upstreams of a failure domain, with seconds' notice. */
+  /** Reclaims all cheap upstreams of a failure domain, with a few seconds' notice. */
   const reclaim = (failureDomain: string): void =>
     [...running.values()]
       .filter(({ status }) => status.failureDomain === failureDomain && status.kind === 'cheap')
       .forEach((one) => {
         one.status.reclaimed = true;
-        stop(one, RECLAIM_MS);
+        stop(one, RECLAIM_NOTICE_MS);
       });
 
   const mount = (app: Polka): void => {
-    const ofDomain = (failureDomain: unknown) =>
+    const statusesOfDomain = (failureDomain: unknown) =>
       statuses().filter((status) => status.failureDomain === failureDomain);
     app.get(
       '/orders',
-      faulty(faults, 'orders', async (request) => ({
+      withFaults(faults, 'orders', async (request) => ({
         status: 200,
-        body: ofDomain((request.query as Record<string, string>).failureDomain),
+        body: statusesOfDomain((request.query as Record<string, string>).failureDomain),
       })),
     );
     app.post(
       '/orders',
-      faulty(faults, 'orders', async (request, response) => {
+      withFaults(faults, 'orders', async (request, response) => {
         const order = await readJson(request, response, upstreamOrderSchema);
         if (!order) return null;
-        const isTaken = await place(order);
-        return isTaken
-          ? { status: 200, body: ofDomain(order.failureDomain) }
+        const isAccepted = await applyOrder(order);
+        return isAccepted
+          ? { status: 200, body: statusesOfDomain(order.failureDomain) }
           : { status: 409, body: { error: 'a newer fence was seen' } };
       }),
     );
     app.get(
       '/hosts',
-      faulty(faults, 'hosts', async () => ({ status: 200, body: { upstreams: listed } })),
+      withFaults(faults, 'hosts', async () => ({ status: 200, body: { upstreams: hostList } })),
     );
     app.post(
       '/reclaim',
-      faulty(faults, 'fleet', async (request, response) => {
+      withFaults(faults, 'fleet', async (request, response) => {
         const wanted = await readJson(request, response, reclaimSchema);
         if (wanted) reclaim(wanted.failureDomain);
         return wanted && { status: 200, body: {} };
@@ -165,7 +165,7 @@
     );
     app.post(
       '/crash',
-      faulty(faults, 'fleet', async (request, response) => {
+      withFaults(faults, 'fleet', async (request, response) => {
         const wanted = await readJson(request, response, upstreamSchema);
         if (wanted) running.get(wanted.id)?.engine.crash();
         return wanted && { status: 200, body: {} };
--- a/apps/standin/src/newLogStandin.ts
+++ b/apps/standin/src/newLogStandin.ts
@@ -2,20 +2,20 @@
 import type { Polka } from 'polka';
 import { z } from 'zod';
 import type { FaultSwitches } from './faultSwitches.js';
-import { faulty, readJson } from './faulty.js';
+import { readJson, withFaults } from './withFaults.js';
 
 const PAGE_RECORDS = 512;
-const LONGEST_WAIT_MS = 5_000;
+const MAX_WAIT_MS = 5_000;
 
 const appendSchema = z.object({ bodies: z.array(z.string()).min(1).max(4_096) });
 
-/** The platform's log: a total order, offsets, a limited retention, waiting reads. */
+/** The platform's log: totally ordered records with offsets, limited retention and long-polling reads. */
 const newLogStandin = (faults: FaultSwitches, recordsKept: number) => {
   let records: LogRecord[] = [];
   let end = 0;
   let appends = 0;
   let reads = 0;
-  const waiting = new Set<() => void>();
+  const waitingReads = new Set<() => void>();
 
   const append = (bodies: string[]): number => {
     const offset = end;
@@ -26,17 +26,17 @@
       end += 1;
     });
     if (records.length > recordsKept * 1.25) records = records.slice(-recordsKept);
-    [...waiting].forEach((resume) => resume());
+    [...waitingReads].forEach((resume) => resume());
     return offset;
   };
 
   const waitForRecords = (waitMs: number): Promise<void> =>
     new Promise((resolve) => {
       const finish = (): void => {
-        waiting.delete(finish);
+        waitingReads.delete(finish);
         resolve();
       };
-      waiting.add(finish);
+      waitingReads.add(finish);
       setTimeout(finish, waitMs);
     });
 
@@ -51,16 +51,16 @@
   const mount = (app: Polka): void => {
     app.post(
       '/log/append',
-      faulty(faults, 'log', async (request, response) => {
+      withFaults(faults, 'log', async (request, response) => {
         const wanted = await readJson(request, response, appendSchema);
         return wanted && { status: 200, body: { offset: append(wanted.bodies) } };
       }),
     );
     app.get(
       '/log/read',
-      faulty(faults, 'log', async (request) => {
+      withFaults(faults, 'log', async (request) => {
         const { from, waitMs } = request.query as Record<string, string>;
-        const wait = Math.min(LONGEST_WAIT_MS, Number(waitMs ?? 0));
+        const wait = Math.min(MAX_WAIT_MS, Number(waitMs ?? 0));
         return { status: 200, body: await read(Number(from ?? 0), wait) };
       }),
     );
--- a/apps/standin/src/newPlatformStandin.ts
+++ b/apps/standin/src/newPlatformStandin.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import polka from 'polka';
-import { faulty, readJson } from './faulty.js';
+import { readJson, withFaults } from './withFaults.js';
 import { faultSwitchSchema, newFaultSwitches } from './faultSwitches.js';
 import newFleetStandin from './newFleetStandin.js';
 import newLogStandin from './newLogStandin.js';
@@ -19,7 +19,7 @@
   recordsKept?: number;
 }
 
-/** Every service of the platform in one process, with its upstreams. */
+/** Runs all services of the platform and their upstreams in one process. */
 const newPlatformStandin = async (options: PlatformStandinOptions) => {
   const faults = newFaultSwitches();
   const log = newLogStandin(faults, options.recordsKept ?? 100_000);
@@ -41,7 +41,7 @@
   [log, reports, fleet].forEach((part) => part.mount(app));
   app.post(
     '/faults',
-    faulty(faults, 'switches', async (request, response) => {
+    withFaults(faults, 'switches', async (request, response) => {
       const wanted = await readJson(request, response, faultSwitchSchema);
       if (wanted) faults.set(wanted);
       return wanted && { status: 200, body: wanted };
@@ -56,7 +56,7 @@
     );
   app.get(
     '/counts',
-    faulty(faults, 'switches', async () => ({
+    withFaults(faults, 'switches', async () => ({
       status: 200,
       body: { ...log.counts(), bytes: countBytes() },
     })),
--- a/apps/standin/src/newPrefixCache.ts
+++ b/apps/standin/src/newPrefixCache.ts
@@ -1,15 +1,15 @@
-/** A prefix came into an engine's cache or was dropped from it. */
+/** Records that a prefix was added to an engine's cache or evicted from it. */
 export interface CacheEvent {
   sequence: number;
   kind: 'cached' | 'evicted';
   prefix: string;
-  /** When it happened, on this process's monotonic clock. */
+  /** Time of the event on this process's monotonic clock. */
   at: number;
 }
 
-const EVENTS_KEPT = 1_024;
+const MAX_EVENTS_KEPT = 1_024;
 
-/** An engine's cache of prompt prefixes, with the events that it publishes of it. */
+/** An engine's LRU cache of prompt prefixes, with the events that the engine publishes about it. */
 const newPrefixCache = (prefixesCached: number) => {
   const cached = new Set<string>();
   const events: CacheEvent[] = [];
@@ -18,7 +18,7 @@
   const publish = (kind: CacheEvent['kind'], prefix: string): void => {
     events.push({ sequence, kind, prefix, at: performance.now() });
     sequence += 1;
-    if (events.length > EVENTS_KEPT) events.shift();
+    if (events.length > MAX_EVENTS_KEPT) events.shift();
   };
 
   return {
@@ -34,9 +34,9 @@
       }
       return isCached;
     },
-    /** Events from a sequence number on that are at least so old: the engine tells of them late. */
-    read: (from: number, lateMs: number): CacheEvent[] =>
-      events.filter((event) => event.sequence >= from && event.at <= performance.now() - lateMs),
+    /** Returns events from a sequence number on that are at least `delayMs` old. */
+    read: (from: number, delayMs: number): CacheEvent[] =>
+      events.filter((event) => event.sequence >= from && event.at <= performance.now() - delayMs),
   };
 };
 
--- a/apps/standin/src/newReportsStandin.ts
+++ b/apps/standin/src/newReportsStandin.ts
@@ -1,17 +1,17 @@
 import { usageReportSchema } from '@cyclamengate/platform/usageReport';
 import type { UsageReport } from '@cyclamengate/platform/usageReport';
 import type { Polka } from 'polka';
-import { faulty, readJson } from './faulty.js';
+import { readJson, withFaults } from './withFaults.js';
 import type { FaultSwitches } from './faultSwitches.js';
 
-/** The platform's interface for usage reports; keeps all it was sent, repetitions too. */
+/** The platform's interface for usage reports; stores every report received, including duplicates. */
 const newReportsStandin = (faults: FaultSwitches) => {
   const received: UsageReport[] = [];
 
   const mount = (app: Polka): void => {
     app.post(
       '/reports',
-      faulty(faults, 'reports', async (request, response) => {
+      withFaults(faults, 'reports', async (request, response) => {
         const report = await readJson(request, response, usageReportSchema);
         if (report) received.push(report);
         return report && { status: 200, body: {} };
@@ -19,7 +19,7 @@
     );
     app.get(
       '/reports',
-      faulty(faults, 'reports-read', async () => ({ status: 200, body: received })),
+      withFaults(faults, 'reports-read', async () => ({ status: 200, body: received })),
     );
   };
 
--- a/apps/standin/src/newTrainerStandin.ts
+++ b/apps/standin/src/newTrainerStandin.ts
@@ -1,10 +1,10 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { request } from 'undici';
 
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
 export interface TrainerStandinOptions {
-  /** Rollout processes; the next one is asked when one does not answer. */
+  /** URLs of the rollout processes; the next one is used when one does not respond. */
   rollouts: string[];
   trainer: string;
   key: string;
@@ -16,17 +16,21 @@
   durationMs: number;
 }
 
-interface Answer {
+interface JsonResponse {
   status: number;
   body: Record<string, unknown>;
 }
 
-/** A trainer: publishes weights, asks for steps, reads samples by cursor. */
+/** A trainer that publishes weights, requests steps and reads their samples by cursor. */
 const newTrainerStandin = ({ rollouts, trainer, key }: TrainerStandinOptions) => {
-  let current = 0;
+  let currentRollout = 0;
 
-  const ask = async (method: 'GET' | 'POST', path: string, body?: unknown): Promise<Answer> => {
-    const url = `${rollouts[current % rollouts.length]}/v1/trainers/${trainer}${path}`;
+  const send = async (
+    method: 'GET' | 'POST',
+    path: string,
+    body?: unknown,
+  ): Promise<JsonResponse> => {
+    const url = `${rollouts[currentRollout % rollouts.length]}/v1/trainers/${trainer}${path}`;
     try {
       const answer = await request(url, {
         method,
@@ -40,21 +44,22 @@
         body: (await answer.body.json()) as Record<string, unknown>,
       };
     } catch {
-      current += 1;
+      currentRollout += 1;
       return { status: 0, body: {} };
     }
   };
 
-  const askUntil = async (method: 'GET' | 'POST', path: string, body?: unknown) => {
+  const sendUntilAccepted = async (method: 'GET' | 'POST', path: string, body?: unknown) => {
     for (;;) {
-      const answer = await ask(method, path, body);
+      const answer = await send(method, path, body);
       if (answer.status >= 200 && answer.status < 300) return answer.body;
-      if (answer.status === 410) throw new Error(`lost: ${JSON.stringify(answer.body)}`);
-      await sleep(POLL_MS);
+      if (answer.status === 410)
+        throw new Error(`step lost, status 410: ${JSON.stringify(answer.body)}`);
+      await sleep(POLL_INTERVAL_MS);
     }
   };
 
-  const publishWeights = (version: number) => askUntil('POST', '/weights', { version });
+  const publishWeights = (version: number) => sendUntilAccepted('POST', '/weights', { version });
 
   const runStep = async (
     step: number,
@@ -63,16 +68,19 @@
     maxTokens: number,
   ): Promise<StepSummary> => {
     const startedAt = performance.now();
-    const wanted = { step, prompts, groupSize, maxTokens };
-    await askUntil('POST', '/steps', wanted);
+    const stepRequest = { step, prompts, groupSize, maxTokens };
+    await sendUntilAccepted('POST', '/steps', stepRequest);
     const samples: StepSummary['samples'] = [];
     for (let isComplete = false; !isComplete;) {
-      const page = await askUntil('GET', `/steps/${step}/samples?cursor=${samples.length}`);
+      const page = await sendUntilAccepted(
+        'GET',
+        `/steps/${step}/samples?cursor=${samples.length}`,
+      );
       samples.push(...(page.samples as StepSummary['samples']));
       isComplete = page.isComplete as boolean;
-      // The process that filled the step died, or its time is over: it is asked for again.
-      if (!isComplete && !page.isFilling) await askUntil('POST', '/steps', wanted);
-      if (!isComplete) await sleep(POLL_MS);
+      // The rollout process that was filling the step died or its timeout passed: request the step again.
+      if (!isComplete && !page.isFilling) await sendUntilAccepted('POST', '/steps', stepRequest);
+      if (!isComplete) await sleep(POLL_INTERVAL_MS);
     }
     return { step, samples, durationMs: performance.now() - startedAt };
   };
--- a/apps/standin/src/faulty.ts
+++ b/apps/standin/src/withFaults.ts
@@ -8,11 +8,11 @@
 import type { ZodType } from 'zod';
 import type { FaultSwitches } from './faultSwitches.js';
 
-const MOST_BODY_BYTES = LARGEST_BODY_BYTES * 16;
+const MAX_BODY_BYTES = LARGEST_BODY_BYTES * 16;
 const BODY_TIMEOUT_MS = 10_000;
 
-/** What a stand-in answers: a status and a JSON value. */
-export interface StandinAnswer {
+/** A stand-in's response: a status and a JSON value. */
+export interface StandinResponse {
   status: number;
   body: unknown;
 }
@@ -21,13 +21,13 @@
   request.socket.resetAndDestroy();
 };
 
-/** Reads a JSON body of a certain shape; answers with 400 and returns null when it isn't one. */
+/** Reads a JSON body and parses it with a schema; responds with 400 and returns null if it is invalid. */
 export const readJson = async <T>(
   request: HandlerRequest,
   response: ServerResponse,
   schema: ZodType<T>,
 ): Promise<T | null> => {
-  const body = await readBody(request, MOST_BODY_BYTES, BODY_TIMEOUT_MS);
+  const body = await readBody(request, MAX_BODY_BYTES, BODY_TIMEOUT_MS);
   const raw = body.ok ? parseJson(body.val.toString()) : null;
   const restored = raw?.ok ? restore(schema, raw.val) : null;
   if (restored?.ok) return restored.val;
@@ -35,11 +35,11 @@
   return null;
 };
 
-/** A route of a stand-in, with the faults that its target has switched on. */
-export const faulty = (
+/** Wraps the handler of a route so that it shows the faults that are switched on for its target. */
+export const withFaults = (
   faults: FaultSwitches,
   target: string,
-  answer: (request: HandlerRequest, response: ServerResponse) => Promise<StandinAnswer | null>,
+  handle: (request: HandlerRequest, response: ServerResponse) => Promise<StandinResponse | null>,
 ) =>
   handler(
     (error) => process.stderr.write(`${target}: ${String(error)}\n`),
@@ -51,12 +51,12 @@
       if (faults.use(target, 'silent')) return;
       const slow = faults.use(target, 'slow');
       if (slow) await sleep(slow.delayMs);
-      const answered = await answer(request, response);
-      if (!answered) return;
+      const result = await handle(request, response);
+      if (!result) return;
       if (request.method === 'POST' && faults.use(target, 'lose-answer')) {
         reset(request);
         return;
       }
-      sendJson(response, answered.status, answered.body);
+      sendJson(response, result.status, result.body);
     },
   );
