--- a/apps/platform-standin/src/readAll.ts
+++ b/apps/platform-standin/src/httpBodies.ts
@@ -1,7 +1,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** A request's whole body. */
-export const readAll = async (request: IncomingMessage): Promise<Buffer> => {
+/** Reads the complete body of a request. */
+export const readBody = async (request: IncomingMessage): Promise<Buffer> => {
   const chunks: Buffer[] = [];
   for await (const chunk of request) chunks.push(chunk as Buffer);
   return Buffer.concat(chunks);
--- a/apps/platform-standin/src/listenOnLoopback.ts
+++ b/apps/platform-standin/src/listenOnLoopback.ts
@@ -2,16 +2,16 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 
-/** One stand-in's server. */
+/** The HTTP server of a stand-in. */
 export interface LoopbackServer {
   server: Server;
-  /** Host and port. */
+  /** Host and port, separated by a colon. */
   address: string;
-  /** Closes it and resets what is open. */
+  /** Closes the server and its open connections. */
   close: () => Promise<void>;
 }
 
-/** Starts a server on a free port of this machine's own address. */
+/** Starts an HTTP server on a free loopback port. */
 const listenOnLoopback = async (
   handle: (request: IncomingMessage, response: ServerResponse) => void,
 ): Promise<LoopbackServer> => {
--- a/apps/platform-standin/src/newEngineServer.ts
+++ b/apps/platform-standin/src/newEngineServer.ts
@@ -1,24 +1,24 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import listenOnLoopback from './listenOnLoopback.js';
 import type { LoopbackServer } from './listenOnLoopback.js';
-import { readAll, sendJson } from './readAll.js';
+import { readBody, sendJson } from './httpBodies.js';
 
-const EVENT_EVERY_MS = 15;
+const EVENT_INTERVAL_MS = 15;
 const LOAD_MS = 150;
 
-/** How an engine misbehaves. */
+/** The simulated faults of an engine. */
 export interface EngineFaults {
-  /** Takes requests and answers nothing. */
-  isDark: boolean;
-  /** Breaks off after so many events of each stream; null for never. */
+  /** Accepts requests and never responds. */
+  isUnresponsive: boolean;
+  /** Number of events after which each stream is reset; null for no limit. */
   breakAfter: number | null;
-  /** How many times slower than usual it works. */
+  /** Factor by which the interval between events is multiplied. */
   slowness: number;
-  /** Answers bear the id of another request. */
+  /** Responses carry the id of another request. */
   isCrossed: boolean;
 }
 
-/** A request that ran here. */
+/** A request that this engine ran. */
 export interface EngineRun {
   requestId: string;
   customer: string | null;
@@ -36,28 +36,37 @@
   versions: Map<string, number>;
 }
 
-const textOf = (value: string | string[] | undefined): string => String(value ?? '');
+const headerText = (value: string | string[] | undefined): string => String(value ?? '');
 
-/** Length of an item's text in events: its own, the same at every engine. */
+/** Number of events in an item's text; it depends only on the request's id, not on the engine. */
 export const eventsOf = (requestId: string): number =>
   4 + (Buffer.from(requestId).reduce((sum, byte) => sum + byte, 0) % 6);
 
 /**
- * A model engine as the platform's pages describe it: event streams, resumption, one order at a
- * time with a count that the order must name, refusal of a model's requests while it loads.
+ * A model engine as the platform's documentation describes it: it streams events, resumes streams,
+ * accepts one weight order at a time, whose precondition must equal the number of accepted orders, and
+ * refuses a model's requests while the model loads.
  */
 const newEngineServer = async (id: string, models: string[]): Promise<EngineServer> => {
-  const faults: EngineFaults = { isDark: false, breakAfter: null, slowness: 1, isCrossed: false };
+  const faults: EngineFaults = {
+    isUnresponsive: false,
+    breakAfter: null,
+    slowness: 1,
+    isCrossed: false,
+  };
   const versions = new Map(models.map((model) => [model, 1]));
   const loading = new Set<string>();
   const runs: EngineRun[] = [];
   const orders: EngineServer['orders'] = [];
-  let accepted = 0;
+  let acceptedOrders = 0;
 
-  const order = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
-    const body = JSON.parse((await readAll(request)).toString()) as Record<string, unknown>;
+  const handleWeightOrder = async (
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void> => {
+    const body = JSON.parse((await readBody(request)).toString()) as Record<string, unknown>;
     const [model, version] = [String(body.model), Number(body.version)];
-    if (loading.size > 0 || Number(body.precondition) !== accepted) {
+    if (loading.size > 0 || Number(body.precondition) !== acceptedOrders) {
       sendJson(response, 409, {});
       return;
     }
@@ -65,7 +74,7 @@
       sendJson(response, 200, {});
       return;
     }
-    accepted += 1;
+    acceptedOrders += 1;
     orders.push({
       model,
       version,
@@ -80,21 +89,24 @@
     sendJson(response, 202, {});
   };
 
-  const stream = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+  const handleGeneration = async (
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void> => {
     const { headers } = request;
-    const requestId = textOf(headers['attempt-id']);
-    const model = textOf(headers.model);
-    const body = await readAll(request);
+    const requestId = headerText(headers['attempt-id']);
+    const model = headerText(headers.model);
+    const body = await readBody(request);
     if (loading.has(model)) {
       response.writeHead(503, { 'not-executed': '1', 'content-length': '0' });
       response.end();
       return;
     }
-    const lastEventId = Number(textOf(headers['last-event-id']) || 0);
+    const lastEventId = Number(headerText(headers['last-event-id']) || 0);
     runs.push({
       requestId,
-      customer: headers.tenant ? textOf(headers.tenant) : null,
-      key: headers['x-api-key'] ? textOf(headers['x-api-key']) : null,
+      customer: headers.tenant ? headerText(headers.tenant) : null,
+      key: headers['x-api-key'] ? headerText(headers['x-api-key']) : null,
       path: request.url ?? '',
       lastEventId,
       body: body.toString(),
@@ -109,36 +121,39 @@
     let version = versions.get(model) ?? 1;
     for (let event = lastEventId + 1; event <= eventsOf(requestId); event += 1) {
       await new Promise((resolve) => {
-        setTimeout(resolve, EVENT_EVERY_MS * faults.slowness);
+        setTimeout(resolve, EVENT_INTERVAL_MS * faults.slowness);
       });
       if (response.destroyed) return;
       if (faults.breakAfter !== null && event - lastEventId > faults.breakAfter) {
         request.socket.resetAndDestroy();
         return;
       }
-      const now = versions.get(model) ?? 1;
-      const change = now === version ? '' : `weight-versions: ${now}\n`;
-      version = now;
-      response.write(`${change}id: ${event}\ndata: ${requestId}/${event}\n\n`);
+      const currentVersion = versions.get(model) ?? 1;
+      const versionField = currentVersion === version ? '' : `weight-versions: ${currentVersion}\n`;
+      version = currentVersion;
+      response.write(`${versionField}id: ${event}\ndata: ${requestId}/${event}\n\n`);
     }
     response.end();
   };
 
-  const serve = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
-    if (faults.isDark) return;
+  const handleRequest = async (
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void> => {
+    if (faults.isUnresponsive) return;
     const expected = request.headers['expect-instance'];
     if (expected !== undefined && expected !== id) {
       response.writeHead(421, { 'instance-id': id, 'content-length': '0' });
       response.end();
-    } else if (request.url === '/v1/report') sendJson(response, 200, { seq: accepted });
-    else if (request.url === '/v1/order') await order(request, response);
-    else await stream(request, response);
+    } else if (request.url === '/v1/report') sendJson(response, 200, { seq: acceptedOrders });
+    else if (request.url === '/v1/order') await handleWeightOrder(request, response);
+    else await handleGeneration(request, response);
   };
 
-  const listening = await listenOnLoopback((request, response) => {
-    serve(request, response).catch(() => response.destroy());
+  const loopback = await listenOnLoopback((request, response) => {
+    handleRequest(request, response).catch(() => response.destroy());
   });
-  return { ...listening, id, faults, runs, orders, versions };
+  return { ...loopback, id, faults, runs, orders, versions };
 };
 
 export default newEngineServer;
--- a/apps/platform-standin/src/newPlainServer.ts
+++ b/apps/platform-standin/src/newPlainServer.ts
@@ -1,22 +1,22 @@
 import listenOnLoopback from './listenOnLoopback.js';
 import type { LoopbackServer } from './listenOnLoopback.js';
-import { readAll } from './readAll.js';
+import { readBody } from './httpBodies.js';
 
-const WORK_MS = 10;
+const RESPONSE_DELAY_MS = 10;
 
 export interface PlainServer extends LoopbackServer {
   id: string;
-  faults: { isDark: boolean; isFull: boolean };
+  faults: { isUnresponsive: boolean; isOverloaded: boolean };
   runs: { requestId: string; customer: string | null; key: string | null }[];
 }
 
-/** An upstream of a plain service. */
+/** An upstream of a plain service; it responds with the request's body. */
 const newPlainServer = async (id: string): Promise<PlainServer> => {
-  const faults = { isDark: false, isFull: false };
+  const faults = { isUnresponsive: false, isOverloaded: false };
   const runs: PlainServer['runs'] = [];
-  const listening = await listenOnLoopback((request, response) => {
-    if (faults.isDark) return;
-    if (faults.isFull) {
+  const loopback = await listenOnLoopback((request, response) => {
+    if (faults.isUnresponsive) return;
+    if (faults.isOverloaded) {
       response.writeHead(503, { 'not-executed': '1', 'content-length': '0' });
       response.end();
       return;
@@ -26,7 +26,7 @@
     const customer = headers.tenant === undefined ? null : String(headers.tenant);
     const key = headers['x-api-key'] === undefined ? null : String(headers['x-api-key']);
     runs.push({ requestId, customer, key });
-    readAll(request).then((body) =>
+    readBody(request).then((body) =>
       setTimeout(() => {
         response.writeHead(200, {
           'attempt-id': requestId,
@@ -35,10 +35,10 @@
           'content-length': String(body.length),
         });
         response.end(body);
-      }, WORK_MS),
+      }, RESPONSE_DELAY_MS),
     );
   });
-  return { ...listening, id, faults, runs };
+  return { ...loopback, id, faults, runs };
 };
 
 export default newPlainServer;
--- a/apps/platform-standin/src/newPlatform.ts
+++ b/apps/platform-standin/src/newPlatform.ts
@@ -5,20 +5,20 @@
 import newPlainServer from './newPlainServer.js';
 import type { PlainServer } from './newPlainServer.js';
 import newStoreServer from './newStoreServer.js';
-import { readAll, sendJson } from './readAll.js';
+import { readBody, sendJson } from './httpBodies.js';
 
-const HEARTBEAT_MS = 300;
+const HEARTBEAT_INTERVAL_MS = 300;
 export const HOST_NAME = 'parts.example';
 export const MODEL = 'sweep-seals';
 export const CUSTOMER_KEY = 'key-of-the-museum';
 
 export interface PlatformOptions {
-  /** Failure domains; each has engines and a plain upstream of its own. */
+  /** The failure domains; each gets its own engines and one upstream of the plain service. */
   domains: string[];
   enginesADomain: number;
 }
 
-/** What the operator publishes at first; a test changes a copy of it. */
+/** Creates the operator's initial settings; tests publish modified copies. */
 export const newOperatorSettings = (version = 1) => ({
   version,
   routes: [
@@ -67,13 +67,13 @@
   tenants: [{ name: 'museum', 'api-keys': [CUSTOMER_KEY] }],
 });
 
-/** Everything outside the system, on loopback: store, engines, plain service, duties. */
+/** Runs the system's external services on loopback: store, engines, plain service and duties. */
 const newPlatform = async ({ domains, enginesADomain }: PlatformOptions) => {
   const memory = newMemoryStore();
   const store = await newStoreServer(memory);
   const reports: { holder: string; token: number; window: number; counts: unknown }[] = [];
   const duties = await listenOnLoopback((request, response) => {
-    readAll(request).then((body) => {
+    readBody(request).then((body) => {
       const { 'window-id': window, counts } = JSON.parse(body.toString()) as Record<
         string,
         unknown
@@ -95,16 +95,16 @@
     plain.push({ ...(await newPlainServer(`portal-${domain}`)), domain });
   }
 
-  const list = (id: string, fields: Record<string, unknown>): void => {
+  const putServerEntry = (id: string, fields: Record<string, unknown>): void => {
     const entry = { version: 'v1', state: 'ready', 'cold-remaining-ms': 0, born: 1, ...fields };
     memory.put('keyed.servers', [keyedBody(id, JSON.stringify(entry))]);
   };
 
-  const heartbeat = (): void => {
+  const putServerEntries = (): void => {
     engines
       .filter(({ isListed }) => isListed)
       .forEach(({ id, address, domain, versions }) =>
-        list(id, {
+        putServerEntry(id, {
           service: 'models',
           address,
           zone: domain,
@@ -113,15 +113,15 @@
         }),
       );
     plain.forEach(({ id, address, domain }) =>
-      list(id, { service: 'portal', address, zone: domain, slots: 6 }),
+      putServerEntry(id, { service: 'portal', address, zone: domain, slots: 6 }),
     );
   };
 
   const publish = (key: string, value: unknown): number =>
     memory.put('keyed.op', [keyedBody(key, JSON.stringify(value))]);
 
-  heartbeat();
-  const timer = setInterval(heartbeat, HEARTBEAT_MS);
+  putServerEntries();
+  const timer = setInterval(putServerEntries, HEARTBEAT_INTERVAL_MS);
   publish('config', newOperatorSettings());
 
   return {
--- a/apps/platform-standin/src/newStoreServer.ts
+++ b/apps/platform-standin/src/newStoreServer.ts
@@ -2,14 +2,14 @@
 import type { MemoryStore } from '@cyclamengate/store/newMemoryStore';
 import listenOnLoopback from './listenOnLoopback.js';
 import type { LoopbackServer } from './listenOnLoopback.js';
-import { readAll, sendJson } from './readAll.js';
+import { readBody, sendJson } from './httpBodies.js';
 
 const LENGTH_BYTES = 4;
 const OFFSET_BYTES = 8;
 const POLL_MS = 5;
-const LATE_MS = 1_500;
-/** What a page holds where its reader names no size. */
-const MOST_KB = 1_024;
+const LATE_APPEND_DELAY_MS = 1_500;
+/** Maximum size of a page if the reader does not request one. */
+const DEFAULT_MAX_KB = 1_024;
 
 interface TrimCall {
   topic: string;
@@ -17,16 +17,17 @@
   before: number;
 }
 
-/** How the store's interface misbehaves. */
+/** The simulated faults of the store's HTTP interface. */
 export interface StoreServerFaults {
+  /** `well`: no fault; `busy`: responds 503; `silent`: never responds; `reset`: resets connections. */
   mode: 'well' | 'busy' | 'silent' | 'reset';
-  /** The next so many appends are done and not answered. */
+  /** Number of further appends that are written but get no response. */
   lostAnswers: number;
-  /** The next so many appends are not answered, and done 1.5 s later. */
+  /** Number of further appends that get no response and are written 1.5 s later. */
   lateAppends: number;
 }
 
-const unframe = (body: Buffer): Buffer[] => {
+const decodeFrames = (body: Buffer): Buffer[] => {
   const records: Buffer[] = [];
   for (let at = 0; at + LENGTH_BYTES <= body.length;) {
     const end = at + LENGTH_BYTES + body.readUInt32BE(at);
@@ -36,19 +37,19 @@
   return records;
 };
 
-const frame = (record: Buffer): Buffer => {
+const encodeFrame = (record: Buffer): Buffer => {
   const length = Buffer.alloc(LENGTH_BYTES);
   length.writeUInt32BE(record.length);
   return Buffer.concat([length, record]);
 };
 
-const offsetBytes = (offset: number): Buffer => {
+const encodeOffset = (offset: number): Buffer => {
   const bytes = Buffer.alloc(OFFSET_BYTES);
   bytes.writeBigUInt64BE(BigInt(offset));
   return bytes;
 };
 
-/** The platform's store over HTTP, as its page describes it, in front of a store in memory. */
+/** The platform's store over HTTP, as its documentation describes it, backed by an in-memory store. */
 const newStoreServer = async (
   memory: MemoryStore,
 ): Promise<LoopbackServer & { faults: StoreServerFaults }> => {
@@ -59,7 +60,7 @@
     response: ServerResponse,
     query: URLSearchParams,
   ) => {
-    const records = unframe(await readAll(request));
+    const records = decodeFrames(await readBody(request));
     const topic = query.get('topic') ?? '';
     const producer = {
       name: query.get('producer') ?? '',
@@ -68,41 +69,41 @@
     };
     if (faults.lateAppends > 0) {
       faults.lateAppends -= 1;
-      setTimeout(() => memory.append(topic, records, producer), LATE_MS);
+      setTimeout(() => memory.append(topic, records, producer), LATE_APPEND_DELAY_MS);
       return;
     }
-    const answer = memory.append(topic, records, producer);
+    const outcome = memory.append(topic, records, producer);
     if (faults.lostAnswers > 0) {
       faults.lostAnswers -= 1;
       return;
     }
-    if (answer.ok) {
-      const { offset } = answer.val;
+    if (outcome.ok) {
+      const { offset } = outcome.val;
       sendJson(response, 200, { offset, end: offset + records.length });
-    } else if (answer.val.type === 'sequence') {
-      sendJson(response, 409, { why: 'seq', seq: answer.val.expected });
+    } else if (outcome.val.type === 'sequence') {
+      sendJson(response, 409, { why: 'seq', seq: outcome.val.expected });
     } else sendJson(response, 409, { why: 'fenced' });
   };
 
   const read = async (response: ServerResponse, query: URLSearchParams): Promise<void> => {
     const topic = query.get('topic') ?? '';
     const from = Number(query.get('from') ?? 0);
-    const until = Date.now() + Number(query.get('wait-ms') ?? 0);
-    const mostKb = Number(query.get('max-kb') ?? MOST_KB);
-    let page = memory.read(topic, from, mostKb);
-    while (page.ok && page.val.records.length === 0 && Date.now() < until) {
+    const deadline = Date.now() + Number(query.get('wait-ms') ?? 0);
+    const maxKb = Number(query.get('max-kb') ?? DEFAULT_MAX_KB);
+    let page = memory.read(topic, from, maxKb);
+    while (page.ok && page.val.records.length === 0 && Date.now() < deadline) {
       await new Promise((resolve) => {
         setTimeout(resolve, POLL_MS);
       });
-      page = memory.read(topic, from, mostKb);
+      page = memory.read(topic, from, maxKb);
     }
     if (!page.ok) {
       sendJson(response, 410, { first: page.val.type === 'expired' ? page.val.first : 0 });
       return;
     }
     const { end, first, records } = page.val;
-    const frames = records.map(({ body }) => frame(body));
-    const body = Buffer.concat([offsetBytes(end), offsetBytes(first), ...frames]);
+    const frames = records.map(({ body }) => encodeFrame(body));
+    const body = Buffer.concat([encodeOffset(end), encodeOffset(first), ...frames]);
     response.writeHead(200, { 'content-length': String(body.length) });
     response.end(body);
   };
@@ -118,12 +119,15 @@
   };
 
   const trim = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
-    const { topic, before } = JSON.parse((await readAll(request)).toString()) as TrimCall;
+    const { topic, before } = JSON.parse((await readBody(request)).toString()) as TrimCall;
     memory.trim(topic, before);
     sendJson(response, 200, {});
   };
 
-  const serve = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+  const handleRequest = async (
+    request: IncomingMessage,
+    response: ServerResponse,
+  ): Promise<void> => {
     const [path, query = ''] = (request.url ?? '').split('?');
     const fields = new URLSearchParams(query);
     if (faults.mode === 'silent') return;
@@ -137,10 +141,10 @@
     } else sendJson(response, 404, {});
   };
 
-  const listening = await listenOnLoopback((request, response) => {
-    serve(request, response).catch(() => response.destroy());
+  const loopback = await listenOnLoopback((request, response) => {
+    handleRequest(request, response).catch(() => response.destroy());
   });
-  return { ...listening, faults };
+  return { ...loopback, faults };
 };
 
 export default newStoreServer;
