--- a/packages/batches/src/EventReader.ts
+++ b/packages/batches/src/EventReader.ts
@@ -2,9 +2,9 @@
 export interface StreamEvent {
   id: string;
   data: string;
-  /** Version of the weights from this event on, where the event names one. */
+  /** Version of the weights from this event on; null if the event does not state one. */
   version: number | null;
 }
 
-/** Takes bytes of a stream as they come and gives the events that are whole now. */
+/** Parses chunks of a stream and returns the events that are complete so far. */
 export type EventReader = (chunk: Buffer) => StreamEvent[];
--- a/packages/batches/src/findMoves.ts
+++ b/packages/batches/src/findMoves.ts
@@ -1,43 +1,49 @@
 import { slownessOf, usualPaceOf } from '@cyclamengate/engines/chooseUpstream';
 import type { Candidate } from '@cyclamengate/engines/chooseUpstream';
 
-/** An item that runs now. */
+/** A running item. */
 export interface RunningItem {
   key: string;
   upstream: string;
-  /** Tokens that are expected to be generated still. */
+  /** Expected number of tokens that are still to be generated. */
   expectedTokens: number;
 }
 
-/** An engine this many times slower than its peers loses its items; noise stays below 1.5. */
-const SLOW = 1.7;
-/** Below this the move itself, about 40 ms of reading the text again, costs more than it gains. */
-const LEAST_TOKENS = 150;
+/**
+ * Items move away from an engine that is this many times slower than its peers; noise stays below
+ * 1.5.
+ */
+const SLOWDOWN_THRESHOLD = 1.7;
+/**
+ * With fewer expected tokens the move costs more than it gains: the engine needs about 40 ms to
+ * read the text again.
+ */
+const MIN_REMAINING_TOKENS = 150;
 
 /**
- * Items that should go on at another engine, from their last event.
+ * Selects items that should resume on another engine after their last event.
  *
- * An engine can turn several times slower than its peers without a sign, and the items that it runs
- * then end long after their step is due. Reading a text again takes tens of milliseconds, so going
- * on elsewhere is nearly free.
+ * An engine can become several times slower than its peers without reporting it, and its items
+ * would end long after their step is due. Moving an item is cheap, since reading a text again takes
+ * tens of milliseconds.
  */
 const findMoves = (
   running: RunningItem[],
   candidates: Candidate[],
-  isLeaving: (id: string) => boolean,
+  isDraining: (id: string) => boolean,
 ): RunningItem[] => {
   const usualPace = usualPaceOf(candidates);
-  const slow = new Set(
+  const slowEngines = new Set(
     candidates
-      .filter(({ pace }) => slownessOf(pace, usualPace) > SLOW)
+      .filter(({ pace }) => slownessOf(pace, usualPace) > SLOWDOWN_THRESHOLD)
       .map(({ entry }) => entry.id),
   );
   const freeSlots = candidates
-    .filter(({ entry, isResting }) => !isResting && !slow.has(entry.id))
+    .filter(({ entry, isResting }) => !isResting && !slowEngines.has(entry.id))
     .reduce((sum, { entry, load }) => sum + Math.max(0, entry.slots - load), 0);
   return running
-    .filter(({ upstream }) => isLeaving(upstream) || slow.has(upstream))
-    .filter(({ expectedTokens }) => expectedTokens > LEAST_TOKENS)
+    .filter(({ upstream }) => isDraining(upstream) || slowEngines.has(upstream))
+    .filter(({ expectedTokens }) => expectedTokens > MIN_REMAINING_TOKENS)
     .sort((left, right) => right.expectedTokens - left.expectedTokens)
     .slice(0, freeSlots);
 };
--- a/packages/batches/src/isListening.ts
+++ b/packages/batches/src/isListening.ts
@@ -1,11 +1,13 @@
 import { connect } from 'node:net';
 
-/** A machine that is there accepts at once; across failure domains and a busy link within this. */
-const CONNECT_MS = 300;
+/**
+ * A reachable machine accepts within this time, also across failure domains and over a busy link.
+ */
+const CONNECT_TIMEOUT_MS = 300;
 
 /**
- * Whether something accepts connections at an address. The operating system accepts them also for a
- * process that is busy or suspended, so this tells a host that is late from one that is gone.
+ * Checks whether connections are accepted at an address. The operating system also accepts them for
+ * a process that is busy or suspended, so this distinguishes a late host from an unreachable one.
  * @param address IP address and port
  */
 const isListening = (address: string): Promise<boolean> =>
@@ -13,15 +15,16 @@
     const [host, port] = address.split(':');
     const socket = connect({ host, port: Number(port) });
     let timer: NodeJS.Timeout | null = null;
-    const settle = (isThere: boolean): void => {
+    const settle = (isReachable: boolean): void => {
       if (timer) clearTimeout(timer);
       socket.destroy();
-      resolve(isThere);
+      resolve(isReachable);
     };
     socket.once('connect', () => settle(true));
     socket.once('error', () => settle(false));
-    // A process that was held up itself meets its timer before the connection that stood in time.
-    timer = setTimeout(() => setImmediate(() => settle(false)), CONNECT_MS);
+    // After a stall of this process the timer fires before the event of a connection that was
+    // accepted in time; that event is handled before the immediate callback.
+    timer = setTimeout(() => setImmediate(() => settle(false)), CONNECT_TIMEOUT_MS);
   });
 
 export default isListening;
--- a/packages/batches/src/keepOrSee.ts
+++ b/packages/batches/src/keepOrSee.ts
@@ -11,26 +11,26 @@
 }
 
 /**
- * Keeps a batch, unless the log shows first that it stands.
+ * Writes a batch to the store, or returns as soon as the log shows that the store has it.
  *
- * A batch that comes again in an outage was begun by another host, which brings it to the store as
- * soon as that is back. This host's own write may still wait then for an answer that the outage took,
- * and its caller would be told that nothing is known of a batch that everybody can read.
+ * A batch that is sent again during an outage was begun by another host, which writes it once the
+ * store is available. This host's own write may then still wait for a response that was lost in the
+ * outage, and the caller would get an unknown outcome for a batch that every host can read.
  */
 const keepOrSee = async (
   { clock, batches, keep }: KeepOrSeeOptions,
   batch: Batch,
   deadline: number,
 ): Promise<WriteOutcome> => {
-  const seen = new AbortController();
+  const observed = new AbortController();
   const stop = batches.onChange((changed) => {
-    if (changed.isKept && changed.batch.id === batch.id) seen.abort('seen');
+    if (changed.isKept && changed.batch.id === batch.id) observed.abort('seen');
   });
-  // An append that went into an outage is without an answer for longer than its writer's deadline.
-  const late = clock.sleepUntil(deadline, seen.signal).then((): WriteOutcome => 'unknown');
-  const outcome = await Promise.race([keep(batch, deadline), late]);
+  // An append that is sent during an outage can remain unanswered past its writer's deadline.
+  const timeout = clock.sleepUntil(deadline, observed.signal).then((): WriteOutcome => 'unknown');
+  const outcome = await Promise.race([keep(batch, deadline), timeout]);
   stop();
-  seen.abort('over');
+  observed.abort('over');
   return batches.get(batch.id) ? 'written' : outcome;
 };
 
--- a/packages/batches/src/mapById.ts
+++ b/packages/batches/src/mapById.ts
@@ -1,5 +1,5 @@
-/** Things by their ids, in their order. */
-const mapById = <T extends { id: string }>(things: T[]): Map<string, T> =>
-  new Map(things.map((thing) => [thing.id, thing]));
+/** Maps entries by their ids, in the given order. */
+const mapById = <T extends { id: string }>(entries: T[]): Map<string, T> =>
+  new Map(entries.map((entry) => [entry.id, entry]));
 
 export default mapById;
--- a/packages/batches/src/mayStartWork.ts
+++ b/packages/batches/src/mayStartWork.ts
@@ -1,37 +1,43 @@
 /** A view older than this may lack the end of a batch. */
-const FRESH_MS = 1_800;
-/** While the store does not answer nobody ends a batch; another host may have gone on by then. */
-const AWAY_MS = 7_000;
+const MAX_VIEW_AGE_MS = 1_800;
+/**
+ * No batch can be ended while the store is unavailable, so an older view is good enough; beyond
+ * this age another host may have resumed the batch.
+ */
+const MAX_VIEW_AGE_IN_OUTAGE_MS = 7_000;
 
-/** What a host knows of how new its view of the batches is, on the monotonic clock. */
+/** How current a host's view of the batches is; times are on the monotonic clock. */
 export interface BatchesView {
-  /** It holds all that was written before; minus infinity where it never was whole. */
+  /**
+   * The view holds everything that was written before this time; minus infinity if it was never
+   * complete.
+   */
   freshAt: number;
-  /** Whether the store does not answer this host's reads now. */
+  /** Whether the store currently does not answer this host's reads. */
   isAway: boolean;
-  /** Whether another host has read the batches since then. */
+  /** Whether another host has read the batches since `freshAt`. */
   isCutOff: boolean;
 }
 
 /**
- * Whether items of a batch may start, and their texts be scored.
- *
- * On an old view the batch might have ended long ago; its customer would pay for what nobody wants.
- * But while the store is away an end can't be written either: items that wait for a slot, or were
- * broken off by an engine, would stand still for the whole outage though engines are free, and their
- * step would be late. The store may as well turn this host away alone: then others write ends that
- * it does not hear of.
+ * Decides whether items of a batch may start and their texts may be scored.
  *
- * @param isKept whether the store is known to have the batch; nobody can end one that it has not
+ * On a stale view the batch may have ended long ago, and its customer would pay for unwanted work.
+ * While the store is unavailable to all hosts no end can be written either: items that wait for a
+ * slot or were interrupted by an engine would be idle for the whole outage although engines are
+ * free, and their step would be late. If the store rejects only this host, other hosts can write
+ * ends that this host does not read.
+ * @param isLogged whether the store is known to have the batch; a batch that it does not have
+ * cannot be ended
  */
 const mayStartWork = (
   now: number,
   { freshAt, isAway, isCutOff }: BatchesView,
-  isKept: boolean,
+  isLogged: boolean,
 ): boolean => {
-  if (now < freshAt + FRESH_MS) return true;
+  if (now < freshAt + MAX_VIEW_AGE_MS) return true;
   if (isCutOff) return false;
-  return !isKept || (isAway && now < freshAt + AWAY_MS);
+  return !isLogged || (isAway && now < freshAt + MAX_VIEW_AGE_IN_OUTAGE_MS);
 };
 
 export default mayStartWork;
--- a/packages/batches/src/newAssignment.ts
+++ b/packages/batches/src/newAssignment.ts
@@ -3,48 +3,57 @@
 import type { Takeovers } from './newTakeovers.js';
 
 /**
- * After an outage of the store heartbeats are back within a second, and until then nobody looks live;
- * so is the word of a host that began a batch, which it writes together with the batch.
+ * After a store outage heartbeats resume within a second, and until then no host appears to be
+ * live. The record of the host that began a batch takes no longer, since it is written together
+ * with the batch.
  */
-const BEGUN_GRACE_MS = 2_000;
+const EXECUTOR_GRACE_MS = 2_000;
 
 export interface AssignmentOptions {
   clock: Clock;
-  /** This run of the process. */
+  /** Incarnation of this process. */
   incarnation: string;
   isLeaving: () => boolean;
-  /** The view of the batches holds all that was written before; on the monotonic clock. */
+  /**
+   * The view of the batches holds everything that was written before this time on the monotonic
+   * clock.
+   */
   freshAt: () => number;
-  /** Whether another run of a host's process is live. */
+  /** Whether another incarnation of a host process is live. */
   isLive: (incarnation: string) => boolean;
-  /** Whether a run of a host's process is known to leave or to be gone. */
+  /** Whether an incarnation of a host process is known to be leaving or to have ended. */
   hasLeft: (host: string, incarnation: string) => boolean;
   takeovers: Takeovers;
 }
 
-/** Batches of one model are run by one host, which sees all that compete for its engines. */
+/**
+ * Subject under which a batch is owned. Batches of one model are run by one host, which knows of
+ * all items that compete for the model's engines.
+ */
 export const subjectOf = ({ batch }: BatchState): string => batch.model ?? batch.id;
 
 /**
- * Whether this host runs a batch now.
+ * Decides whether this host currently runs a batch.
  *
- * A batch that came while the store was away is run by the host that began it, and one that was
- * handed over by the host that took it, as long as that host lives: another one would make the same
- * texts a second time. The store may get it from a third host first, without a word of who runs it;
- * whoever was told waits for that word. All others go by their subject.
+ * A batch that was sent during a store outage is run by the host that began it, and a batch that
+ * was handed over is run by the host that took it, as long as that host is live: a second host
+ * would generate the same texts again. The store may first get the batch from a third host, without
+ * a record of who runs it; hosts that were told of the executor wait for that record. All other
+ * batches are assigned by the ownership of their subject.
  */
 const newAssignment =
   ({ clock, incarnation, isLeaving, freshAt, isLive, hasLeft, takeovers }: AssignmentOptions) =>
   (state: BatchState): boolean => {
-    const { isBegunHere, handedOverUntil, begunBy, beginnerHeardAt } = state;
+    const { isBegunHere, handedOverUntil, executor, executorReportedAt } = state;
     if (isLeaving() || freshAt() < handedOverUntil) return false;
-    if (isBegunHere || begunBy?.incarnation === incarnation) return true;
-    const isHeardOf = begunBy === null && clock.now() < beginnerHeardAt + BEGUN_GRACE_MS;
-    const isBegunElsewhere =
-      begunBy !== null &&
-      !hasLeft(begunBy.host, begunBy.incarnation) &&
-      (clock.now() < begunBy.readAt + BEGUN_GRACE_MS || isLive(begunBy.incarnation));
-    return !isHeardOf && !isBegunElsewhere && takeovers.mayBegin(subjectOf(state));
+    if (isBegunHere || executor?.incarnation === incarnation) return true;
+    const isExecutorReported =
+      executor === null && clock.now() < executorReportedAt + EXECUTOR_GRACE_MS;
+    const hasOtherExecutor =
+      executor !== null &&
+      !hasLeft(executor.host, executor.incarnation) &&
+      (clock.now() < executor.readAt + EXECUTOR_GRACE_MS || isLive(executor.incarnation));
+    return !isExecutorReported && !hasOtherExecutor && takeovers.mayBegin(subjectOf(state));
   };
 
 export default newAssignment;
--- a/packages/batches/src/newBatchHead.ts
+++ b/packages/batches/src/newBatchHead.ts
@@ -1,10 +1,10 @@
 import digest from '@cyclamengate/common/digest';
 import type { Batch, BatchHead, Item, ItemHead, TextPlace } from './batchRecord.js';
 
-/** Half of a SHA-256: enough to tell the requests of some minutes apart. */
+/** Half of a SHA-256 digest, which is enough to distinguish the requests of some minutes. */
 const DIGEST_CHARACTERS = 32;
 
-/** What every host needs to know of an item. */
+/** Creates the metadata of an item that every host holds. */
 export const newItemHead = ({
   id,
   group,
@@ -19,7 +19,10 @@
   digest: digest(JSON.stringify([path, headers, body])).slice(0, DIGEST_CHARACTERS),
 });
 
-/** A batch as the followed topic has it; its requests stand at a place of their own. */
+/**
+ * Creates the record of a batch for the topic that all hosts follow; its requests are stored
+ * separately.
+ */
 const newBatchHead = (batch: Batch, requests: TextPlace): BatchHead => ({
   ...batch,
   type: 'batch-head',
--- a/packages/batches/src/newBatchKeeper.ts
+++ b/packages/batches/src/newBatchKeeper.ts
@@ -4,35 +4,41 @@
 import type { WriteOutcome } from '@cyclamengate/store/newStoreWriter';
 import type { Batch, BatchChange } from './batchRecord.js';
 
-/** The store answers within some milliseconds, a slow one within 300 ms at most. */
-const ALONE_MS = 300;
-/** A peer that reaches the store answers within 20 ms; one that does not takes its whole time. */
-const PEERS_MS = 200;
+/**
+ * Delay before peers are asked: the store answers within some milliseconds, a slow one within 300
+ * ms at most.
+ */
+const ASK_PEERS_AFTER_MS = 300;
+/**
+ * Delay before a batch is begun without the store: a peer that reaches the store answers within 20
+ * ms, and one that does not uses its whole time limit.
+ */
+const BEGIN_AFTER_MS = 200;
 
 export interface BatchKeeperOptions {
   clock: Clock;
   log: EventLog;
   write: (record: BatchChange, deadline: number) => Promise<WriteOutcome>;
-  /** Has other hosts write a record. */
+  /** Asks other hosts to write a record. */
   askPeers: (record: BatchChange) => Promise<WriteOutcome>;
   /**
-   * Has a host begin a batch's items before the store has the batch, and bring it there; the same
-   * host each time that the batch comes again.
+   * Makes a host begin a batch before the store has it and write it to the store; the same host
+   * each time that the batch is sent again.
    */
   begin: (batch: Batch) => Promise<void>;
 }
 
 /**
- * Brings a record into the store, through other hosts where this one can't reach it.
+ * Writes records to the store, through other hosts if this one cannot reach it.
  *
- * A batch may come while the store is away for all, or for a whole failure domain that is cut off.
- * Its trainer can only be told that nothing is known yet, and sends it again about once a second.
- * Its items run meanwhile all the same, and are listed as soon as the store is back: an outage of
- * 6 s costs a step nothing that way, where it cost the whole step before. Such a batch is never said
- * to be "not run".
+ * A batch may be sent while the store is unavailable to all hosts, or to a partitioned failure
+ * domain. Its trainer can only be told that the outcome is unknown, and sends it again about once a
+ * second. Its items run in the meantime and are listed as soon as the store is available: an outage
+ * of 6 s then costs a step nothing instead of the whole step. Such a batch is never reported as
+ * "not run".
  */
 const newBatchKeeper = ({ clock, log, write, askPeers, begin }: BatchKeeperOptions) => {
-  const beginUnkept = (record: BatchChange): boolean => {
+  const beginUnstored = (record: BatchChange): boolean => {
     if (record.type !== 'batch') return false;
     log.warn('batch.begun-unkept', { batch: record.id, model: record.model, step: record.step });
     begin(record);
@@ -40,14 +46,18 @@
   };
 
   const keep = async (record: BatchChange, deadline: number): Promise<WriteOutcome> => {
-    const own = write(record, deadline);
-    const alone = await within(clock, own, Math.min(deadline, clock.now() + ALONE_MS));
-    if (alone === 'written') return alone;
+    const ownWrite = write(record, deadline);
+    const ownOutcome = await within(
+      clock,
+      ownWrite,
+      Math.min(deadline, clock.now() + ASK_PEERS_AFTER_MS),
+    );
+    if (ownOutcome === 'written') return ownOutcome;
     const peers = askPeers(record);
-    const quick = await within(clock, peers, clock.now() + PEERS_MS);
-    if (quick === 'written') return quick;
-    const isBegun = beginUnkept(record);
-    const outcomes = await Promise.all([own, quick ?? peers]);
+    const peerOutcome = await within(clock, peers, clock.now() + BEGIN_AFTER_MS);
+    if (peerOutcome === 'written') return peerOutcome;
+    const isBegun = beginUnstored(record);
+    const outcomes = await Promise.all([ownWrite, peerOutcome ?? peers]);
     if (outcomes.includes('written')) return 'written';
     return isBegun || outcomes.includes('unknown') ? 'unknown' : 'not-written';
   };
--- a/packages/batches/src/newBatchRunner.ts
+++ b/packages/batches/src/newBatchRunner.ts
@@ -15,7 +15,7 @@
 import type { EventReader } from './EventReader.js';
 import type { Batches, BatchState } from './newBatches.js';
 import newAssignment from './newAssignment.js';
-import newHandOver from './newHandOver.js';
+import newHandoverSender from './newHandoverSender.js';
 import newItemFinisher from './newItemFinisher.js';
 import type { ItemScorer } from './newItemScorer.js';
 import newPartSaver from './newPartSaver.js';
@@ -26,18 +26,20 @@
 import newRefusals from './newRefusals.js';
 import planMoves from './planMoves.js';
 import planStarts from './planStarts.js';
-import { isFreshEnough, newProgress } from './progress.js';
-import newRunSettler from './newRunSettler.js';
+import { meetsMinVersion, newProgress } from './progress.js';
+import newRunEndHandler from './newRunEndHandler.js';
 import runOnce from './runOnce.js';
 
-/** How often waiting and running items are looked at, beside each change. */
+/** Interval at which waiting and running items are checked, in addition to each change. */
 const TICK_MS = 40;
-/** How often a host without items looks whether it has come to own a batch. */
+/** Interval at which a host without items checks whether it has come to own a batch. */
 const IDLE_TICK_MS = 250;
-/** How much text a dead host takes with it: 20 events of 35 ms. */
-const SAVE_EVERY_MS = 700;
-/** An item that moved stays so long, until its new engine's pace is known: about 25 events. */
-const MOVE_PAUSE_MS = 1_000;
+/** Bounds the text that is lost when a host dies: 20 events of 35 ms. */
+const SAVE_INTERVAL_MS = 700;
+/**
+ * Minimum time between moves of an item, so that its new engine's pace is known: about 25 events.
+ */
+const MIN_MOVE_INTERVAL_MS = 1_000;
 
 export interface BatchRunnerOptions {
   clock: Clock;
@@ -50,31 +52,34 @@
   loads: Loads;
   scorer: ItemScorer;
   readSettings: () => EffectiveSettings | null;
-  /** Whether this host runs the items of this kind of batch now. */
+  /** Whether this host currently owns the batches of a subject. */
   isOwner: (subject: string) => boolean;
-  /** Whether the view of the log is new enough to start work on a batch. */
+  /** Whether the view of the log is current enough to start work on a batch. */
   mayWork: (state: BatchState) => boolean;
   isListed: (upstream: string) => boolean;
-  /** This run of the process. */
+  /** Incarnation of this process. */
   incarnation: string;
   isLeaving: () => boolean;
-  /** The view of the batches holds all that was written before; on the monotonic clock. */
+  /**
+   * The view of the batches holds everything that was written before this time on the monotonic
+   * clock.
+   */
   freshAt: () => number;
-  /** Whether another run of a host's process is live. */
+  /** Whether another incarnation of a host process is live. */
   isLive: (incarnation: string) => boolean;
-  /** Whether a run of a host's process is known to leave or to be gone. */
+  /** Whether an incarnation of a host process is known to be leaving or to have ended. */
   hasLeft: (host: string, incarnation: string) => boolean;
   writePart: (part: Part, deadline: number) => Promise<WriteOutcome>;
   write: (result: ItemResult, deadline: number) => Promise<WriteOutcome>;
   writeText: (batch: string, text: string, deadline: number) => Promise<TextPlace | null>;
-  /** Reads the texts that other hosts have written down until now. */
+  /** Reads the partial texts that other hosts have written so far. */
   readParts: (deadline: number) => Promise<unknown>;
   requests: RequestReader;
-  /** Has another host go on with a batch; @returns its name, null where none does. */
+  /** Hands a batch over to another host; @returns its name, null if no host takes it. */
   handOverTo: (handover: Handover) => Promise<string | null>;
 }
 
-/** Runs the items of the batches that are this host's. */
+/** Runs the items of the batches that are assigned to this host. */
 const newBatchRunner = (options: BatchRunnerOptions) => {
   const { clock, log, batches, client, candidates, health, loads, scorer, write } = options;
   const { newEventReader, readSettings, isOwner, mayWork, isListed } = options;
@@ -90,10 +95,10 @@
     writeText,
   });
   const takeovers = newTakeovers({ clock, isOwner, readParts });
-  const isMine = newAssignment({ ...options, takeovers });
+  const isAssigned = newAssignment({ ...options, takeovers });
   const refusals = newRefusals(clock);
   const notifier = newNotifier(clock);
-  const handOver = newHandOver({
+  const handOver = newHandoverSender({
     log,
     batches,
     tasks,
@@ -102,21 +107,33 @@
     savePart,
     onHandedOver: notifier.notify,
   });
-  let savePartsAt = -Infinity;
+  let nextSaveAt = -Infinity;
 
   const routeOf = ({ batch }: BatchState): Route | undefined =>
     readSettings()?.settings.routes.find(({ name }) => name === batch.route);
 
-  const settle = newRunSettler({ clock, log, health, refusals, routeOf, abandon, score, notifier });
+  const handleRunEnd = newRunEndHandler({
+    clock,
+    log,
+    health,
+    refusals,
+    routeOf,
+    abandon,
+    score,
+    notifier,
+  });
 
-  /** Text that mixes versions where that is not allowed, or is too old, is made anew. */
-  const dropUnusable = (task: ItemTask, isSingleVersion: boolean): void => {
+  /**
+   * Discards text that mixes versions where that is not allowed, or that is too old; it is
+   * generated again.
+   */
+  const discardUnusable = (task: ItemTask, isSingleVersion: boolean): void => {
     const { progress, state } = task;
     const isMixed = isSingleVersion && progress.versions.length > 1;
-    if (!isMixed && isFreshEnough(progress, state.batch.leastVersion)) return;
+    if (!isMixed && meetsMinVersion(progress, state.batch.leastVersion)) return;
     task.progress = newProgress();
-    task.saved = 0;
-    task.isWholeSaved = false;
+    task.savedEvents = 0;
+    task.isCompletionSaved = false;
   };
 
   const start = async (task: ItemTask, { entry }: Candidate): Promise<void> => {
@@ -124,10 +141,10 @@
     const { batch } = state;
     const route = routeOf(state);
     const isSingleVersion = route?.isSingleVersion ?? false;
-    const run = new AbortController();
+    const runController = new AbortController();
     task.phase = 'running';
     task.upstream = entry.id;
-    task.run = run;
+    task.runController = runController;
     task.runs += 1;
     loads.begin(entry.id);
     const { progress } = task;
@@ -166,15 +183,15 @@
         (!isSingleVersion || progress.versions.every((other) => other === version)),
       onEvent: (gapMs) => health.observe(entry.id, gapMs),
       onLoad: (load) => loads.report(entry.id, load),
-      signal: AbortSignal.any([task.controller.signal, run.signal]),
+      signal: AbortSignal.any([task.controller.signal, runController.signal]),
     });
     loads.end(entry.id);
     task.upstream = null;
-    if (end.type !== 'whole') dropUnusable(task, isSingleVersion);
-    await settle(task, entry.id, end);
+    if (end.type !== 'whole') discardUnusable(task, isSingleVersion);
+    await handleRunEnd(task, entry.id, end);
   };
 
-  const isOver = ({ batch }: BatchState, route: Route | undefined): boolean => {
+  const isExpired = ({ batch }: BatchState, route: Route | undefined): boolean => {
     const retentionMs = route?.retentionMs ?? 0;
     return retentionMs > 0 && clock.wallTime() > batch.acceptedAt + retentionMs;
   };
@@ -186,7 +203,7 @@
       const route = routeOf(task.state);
       const service = route && pickService(route, 0);
       if (!service) return;
-      if (isOver(task.state, route)) {
+      if (isExpired(task.state, route)) {
         abandon(task, 'kept as long as it may be');
         return;
       }
@@ -205,27 +222,27 @@
     });
   };
 
-  /** Goes on with items whose text is whole, as far as the view and the log allow it now. */
-  const finishWaiting = (): void =>
+  /** Resumes items whose text is complete, as far as the view and the log currently allow it. */
+  const finishCompleted = (): void =>
     tasks.all().forEach((task) => {
       if (task.phase === 'unscored') score(task);
       if (task.phase === 'unwritten') resume(task);
     });
 
   /**
-   * Begins what may begin, on a fresh view only. A host that has just started reads the log from its
-   * beginning, and meets batches whose end it has not read yet: their items would run, and their
-   * texts be scored, after their end.
+   * Starts waiting work if the view is current. A host that has just started reads the log from its
+   * beginning and reads batches before their ends: without this check items would run, and texts be
+   * scored, after the end of their batch.
    */
-  const beginWork = (): void => {
-    finishWaiting();
+  const startWork = (): void => {
+    finishCompleted();
     startWaiting(tasks.waiting().filter(({ state }) => mayWork(state)));
   };
 
   const moveRunning = (): void => {
     const running = tasks
       .running()
-      .filter(({ movedAt }) => clock.now() > movedAt + MOVE_PAUSE_MS)
+      .filter(({ movedAt }) => clock.now() > movedAt + MIN_MOVE_INTERVAL_MS)
       .map((task) => ({
         key: task.key,
         upstream: task.upstream ?? '',
@@ -236,21 +253,23 @@
       const task = tasks.get(key);
       if (!task) return;
       task.movedAt = clock.now();
-      task.run?.abort('moved to a faster engine');
+      task.runController?.abort('moved to a faster engine');
     });
   };
 
   const saveParts = (): void => {
-    if (clock.now() < savePartsAt) return;
-    savePartsAt = clock.now() + SAVE_EVERY_MS;
+    if (clock.now() < nextSaveAt) return;
+    nextSaveAt = clock.now() + SAVE_INTERVAL_MS;
     tasks.all().forEach(savePart);
   };
 
   const tick = (): void => {
     takeovers.reconcile();
-    const mine = batches.open().filter((state) => isMine(state) && requests.isHere(state));
-    tasks.reconcile(mine);
-    beginWork();
+    const assigned = batches
+      .open()
+      .filter((state) => isAssigned(state) && requests.isLoaded(state));
+    tasks.reconcile(assigned);
+    startWork();
     moveRunning();
     saveParts();
   };
--- a/packages/batches/src/newBatches.ts
+++ b/packages/batches/src/newBatches.ts
@@ -13,88 +13,99 @@
 } from './batchRecord.js';
 import mapById from './mapById.js';
 import { newItemHead } from './newBatchHead.js';
-import type { PartTexts } from './newPartTexts.js';
-import type { Beginner } from './peerRouter.js';
+import type { PartialTexts } from './newPartTexts.js';
+import type { BatchExecutor } from './peerRouter.js';
 import type { Progress } from './progress.js';
 
-/** A host that takes a batch over writes that down at once, or dies. */
-const TAKEN_OVER_MS = 2_000;
+/** A host that takes a batch over writes its record within this time, unless it dies. */
+const TAKEOVER_RECORD_GRACE_MS = 2_000;
 
-/** A batch with what is known of it. */
+/** A batch and its state as known to this host. */
 export interface BatchState {
   batch: Omit<Batch, 'type' | 'items'>;
   items: Map<string, ItemHead>;
-  /** Whole items; null where this host has not read them, or needs them no more. */
+  /** Items with their requests; null if this host has not read them or no longer needs them. */
   requests: Map<string, Item> | null;
-  /** Where the store has the whole items; null while it has not. */
-  requestsAt: TextPlace | null;
-  /** In the order of the log, which gives each its position. */
+  /**
+   * Location of the items with their requests in the store; null while the store does not have
+   * them.
+   */
+  requestsPlace: TextPlace | null;
+  /** In log order, which defines the position of each result. */
   results: ItemResult[];
   finished: Set<string>;
   isEnded: boolean;
-  /** Whether the store has it; one that this host began without that is nobody else's business. */
+  /**
+   * Whether the store is known to have the batch; a batch that this host began without the store is
+   * not shown to callers.
+   */
   isKept: boolean;
-  /** Whether its head stands in the log: what is written now comes after it. */
+  /** Whether the head of the batch is in the log, so that records written from now on follow it. */
   isStored: boolean;
-  /** This host began it before the store had it, or was handed it by another. */
+  /**
+   * Whether this host began the batch before the store had it, or took it over from another host.
+   */
   isBegunHere: boolean;
   /**
-   * This host has handed it to another, and until the view reaches this moment of the monotonic clock
-   * the log may not tell of that yet. Beyond it the log's word counts: the other one may have died
-   * before it could write it down, and nobody would ever run the batch again.
+   * This host has handed the batch over, and until its view reaches this time on the monotonic
+   * clock the log may lack the record of the new host. Afterwards only the log counts: the new host
+   * may have died before it could write the record, and no host would run the batch again.
    */
   handedOverUntil: number;
-  /** Who else, by the log; `readAt` is on the monotonic clock. */
-  begunBy: { host: string; incarnation: string; readAt: number } | null;
   /**
-   * When another host was said to have begun it, on the monotonic clock, or when it was added after
-   * that; the log may not say so yet.
+   * Host that began the batch or took it over, according to the log; `readAt` is on the monotonic
+   * clock.
+   */
+  executor: { host: string; incarnation: string; readAt: number } | null;
+  /**
+   * Time on the monotonic clock at which another host was reported to have begun the batch, or at
+   * which the batch was added after such a report; the log may still lack the record of that host.
    */
-  beginnerHeardAt: number;
-  /** When this host forgets it, on the monotonic clock. */
-  keepUntil: number;
+  executorReportedAt: number;
+  /** Time on the monotonic clock after which this host evicts the batch. */
+  evictAt: number;
 }
 
-/** Text of an item that was made under whichever batch. */
+/** Text of an item that was generated under any batch. */
 export interface EarlierText {
-  /** Of the request that it answers. */
+  /** Digest of the request that the text answers. */
   digest: string;
   progress: Progress;
-  isWhole: boolean;
-  /** Where the store has it whole; its progress has no events then. */
+  isComplete: boolean;
+  /** Location of the complete text in the store; the progress has no events then. */
   place: TextPlace | null;
 }
 
 export interface BatchesOptions {
   clock: Clock;
-  /** Batches can be read for so long after they were accepted, in milliseconds. */
+  /** Time for which batches can be read after they were accepted, in milliseconds. */
   lifeMs: number;
-  /** Texts that are under way, as far as they were read. */
-  parts: PartTexts;
+  /** Partial texts, as far as they were read. */
+  parts: PartialTexts;
 }
 
 /**
- * All batches, as the log's records say.
+ * Holds the state of all batches according to the log.
  *
- * A batch can be sent again to another host while the first answer is lost, and two hosts can run
- * the same item: the first record of a batch, and the first result of an item, in the log's order
- * are the ones that count. So every host gives the same answer without asking another.
+ * A batch can be sent again to another host when the first response is lost, and two hosts can run
+ * the same item. The first record of a batch and the first result of an item in log order take
+ * effect, so that every host gives the same answer without asking another.
  */
 const newBatches = ({ clock, lifeMs, parts }: BatchesOptions) => {
   const states = new Map<string, BatchState>();
   const completed = new Map<string, { digest: string; result: ItemResult }>();
-  const heard = new Map<string, Beginner & { at: number }>();
+  const reportedExecutors = new Map<string, BatchExecutor & { at: number }>();
   let onAccepted = (_batch: BatchState['batch']): void => {};
   const listeners = new Set<(state: BatchState) => void>();
 
   const add = (batch: Batch | BatchHead, isKept: boolean): BatchState => {
     const age = Math.max(0, clock.wallTime() - batch.acceptedAt);
-    const isWhole = batch.type === 'batch';
+    const hasRequests = batch.type === 'batch';
     const state: BatchState = {
       batch,
-      items: mapById(isWhole ? batch.items.map(newItemHead) : batch.items),
-      requests: isWhole ? mapById(batch.items) : null,
-      requestsAt: isWhole ? null : batch.requests,
+      items: mapById(hasRequests ? batch.items.map(newItemHead) : batch.items),
+      requests: hasRequests ? mapById(batch.items) : null,
+      requestsPlace: hasRequests ? null : batch.requests,
       results: [],
       finished: new Set(),
       isEnded: false,
@@ -102,9 +113,9 @@
       isStored: isKept,
       isBegunHere: !isKept,
       handedOverUntil: -Infinity,
-      begunBy: null,
-      beginnerHeardAt: heard.has(batch.id) ? clock.now() : -Infinity,
-      keepUntil: clock.now() + Math.max(0, lifeMs - Math.min(age, lifeMs)) + lifeMs / 2,
+      executor: null,
+      executorReportedAt: reportedExecutors.has(batch.id) ? clock.now() : -Infinity,
+      evictAt: clock.now() + Math.max(0, lifeMs - Math.min(age, lifeMs)) + lifeMs / 2,
     };
     states.set(batch.id, state);
     return state;
@@ -117,16 +128,19 @@
     known.isKept = true;
     known.isStored = true;
     known.batch = batch;
-    known.requestsAt = batch.type === 'batch-head' ? batch.requests : null;
+    known.requestsPlace = batch.type === 'batch-head' ? batch.requests : null;
     return known;
   };
 
-  /** Of two hosts that began a batch the first counts; one that was handed it follows either. */
+  /**
+   * Of two hosts that began a batch the first takes effect; a host that took the batch over
+   * replaces either.
+   */
   const noteBegun = ({ batch, host, incarnation, from }: BatchBegun): BatchState | null => {
     const state = states.get(batch);
-    if (!state?.isKept || (state.begunBy && from === null)) return null;
+    if (!state?.isKept || (state.executor && from === null)) return null;
     state.handedOverUntil = -Infinity;
-    state.begunBy = { host, incarnation, readAt: clock.now() };
+    state.executor = { host, incarnation, readAt: clock.now() };
     return state;
   };
 
@@ -136,7 +150,7 @@
       return null;
     state.finished.add(result.item);
     state.results.push(result);
-    parts.forget(result.item);
+    parts.remove(result.item);
     const item = state.items.get(result.item);
     if (item && result.state === 'completed') {
       completed.set(result.item, { digest: item.digest, result });
@@ -168,12 +182,12 @@
     }
   };
 
-  const forgetOld = (): void => {
-    heard.forEach(({ at }, id) => {
-      if (at + lifeMs < clock.now()) heard.delete(id);
+  const evictExpired = (): void => {
+    reportedExecutors.forEach(({ at }, id) => {
+      if (at + lifeMs < clock.now()) reportedExecutors.delete(id);
     });
-    states.forEach(({ keepUntil }, id) => {
-      if (keepUntil >= clock.now()) return;
+    states.forEach(({ evictAt }, id) => {
+      if (evictAt >= clock.now()) return;
       states.get(id)?.results.forEach(({ item, batch }) => {
         if (completed.get(item)?.result.batch === batch) completed.delete(item);
       });
@@ -186,7 +200,7 @@
       const changed = change(record);
       if (!changed) return;
       if (record.type === 'batch' || record.type === 'batch-head') {
-        forgetOld();
+        evictExpired();
         onAccepted(changed.batch);
       }
       [...listeners].forEach((listener) => listener(changed));
@@ -195,32 +209,37 @@
       const state = states.get(id);
       return state?.isKept ? state : undefined;
     },
-    /** Begins a batch that the store does not have yet; @returns false where it is known. */
+    /**
+     * Begins a batch that the store does not have yet; @returns false if the batch is already
+     * known.
+     */
     begin: (batch: Batch): boolean => {
       if (states.has(batch.id)) return false;
       const state = add(batch, false);
       [...listeners].forEach((listener) => listener(state));
       return true;
     },
-    /** Whether this host has begun a batch, or was handed it. */
+    /** Whether this host has begun a batch or taken it over. */
     hasBegun: (id: string): boolean => states.get(id)?.isBegunHere ?? false,
-    /** The store has answered that a batch stands, which this host is still to read. */
+    /**
+     * Notes that the store has acknowledged a batch that this host has yet to read from the log.
+     */
     noteStored: (id: string): void => {
       const state = states.get(id);
       if (!state || state.isStored) return;
       state.isStored = true;
       [...listeners].forEach((listener) => listener(state));
     },
-    /** Hears that another host has begun a batch. */
-    noteBeginner: (beginner: Beginner): void => {
+    /** Notes that another host has begun a batch. */
+    noteBeginner: (executor: BatchExecutor): void => {
       const at = clock.now();
-      heard.set(beginner.batch, { ...beginner, at });
-      const state = states.get(beginner.batch);
-      if (state) state.beginnerHeardAt = at;
+      reportedExecutors.set(executor.batch, { ...executor, at });
+      const state = states.get(executor.batch);
+      if (state) state.executorReportedAt = at;
     },
-    /** The host that was said to have begun a batch; null where none was. */
-    heardBeginner: (id: string): Beginner | null => heard.get(id) ?? null,
-    /** Takes over a batch that is known here; @returns false where it is not, or has ended. */
+    /** Host that was reported to have begun a batch; null if there is none. */
+    heardBeginner: (id: string): BatchExecutor | null => reportedExecutors.get(id) ?? null,
+    /** Takes over a batch that this host knows; @returns false if it is unknown or has ended. */
     adopt: (batch: Batch): boolean => {
       const state = states.get(batch.id);
       if (!state || state.isEnded) return false;
@@ -230,14 +249,17 @@
       [...listeners].forEach((listener) => listener(state));
       return true;
     },
-    /** This host goes on with a batch no more. */
+    /** Notes that this host has handed a batch over. */
     noteHandedOver: (id: string): void => {
       const state = states.get(id);
       if (!state) return;
       state.isBegunHere = false;
-      state.handedOverUntil = clock.now() + TAKEN_OVER_MS;
+      state.handedOverUntil = clock.now() + TAKEOVER_RECORD_GRACE_MS;
     },
-    /** Ends what was begun here, unless the store has the batch by now. */
+    /**
+     * Stops running a batch that this host began or took over, and removes it if the store is not
+     * known to have it.
+     */
     withdraw: (id: string): void => {
       const state = states.get(id);
       if (!state) return;
@@ -248,25 +270,28 @@
       [...states.values()].filter(
         ({ isEnded, finished, items }) => !isEnded && finished.size < items.size,
       ),
-    /** Text of an item from whichever batch: whole, or as far as its host wrote it down. */
+    /**
+     * Text of an item from any batch: the complete text, or the part of it that was written by its
+     * host.
+     */
     findText: (id: string): EarlierText | null => {
       const done = completed.get(id);
       if (done) {
         const { text, versions } = done.result;
         const progress = { events: [], lastEventId: null, versions };
-        return { digest: done.digest, progress, isWhole: true, place: text };
+        return { digest: done.digest, progress, isComplete: true, place: text };
       }
       const part = parts.get(id);
       const item = part && states.get(part.batch)?.items.get(id);
       if (!part || !item) return null;
       const progress = structuredClone(part.progress);
-      return { digest: item.digest, progress, isWhole: part.isWhole, place: null };
+      return { digest: item.digest, progress, isComplete: part.isComplete, place: null };
     },
-    /** @param listener hears of each batch that the log has, once */
+    /** @param listener called once for each batch in the log */
     onAccepted: (listener: (batch: BatchState['batch']) => void): void => {
       onAccepted = listener;
     },
-    /** @returns a function that ends it */
+    /** @returns a function that removes the listener */
     onChange: (listener: (state: BatchState) => void): (() => void) => {
       listeners.add(listener);
       return () => listeners.delete(listener);
--- a/packages/batches/src/newCutWatch.ts
+++ b/packages/batches/src/newCutWatch.ts
@@ -2,78 +2,92 @@
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 import type { Touch } from './peerRouter.js';
 
-const CHECK_EVERY_MS = 200;
-/** A view is renewed within 0.9 s while the store answers; others miss this host after 1.6 s. */
-const CUT_AFTER_MS = 1_200;
-/** Two hosts may be cut off together, and a third one's connection to them hang. */
-const ASK_EVERY_MS = 700;
+const CHECK_INTERVAL_MS = 200;
+/**
+ * The view is refreshed within 0.9 s while the store answers; other hosts consider this host dead
+ * after 1.6 s.
+ */
+const MAX_VIEW_AGE_MS = 1_200;
+/**
+ * Probes are repeated, since two hosts may be partitioned together while the connection to a third
+ * hangs.
+ */
+const PROBE_INTERVAL_MS = 700;
 
 export interface CutWatchOptions {
   clock: Clock;
   log: EventLog;
-  /** The view of the batches holds all that was written before; on the monotonic clock. */
+  /**
+   * The view of the batches holds everything that was written before this time on the monotonic
+   * clock.
+   */
   freshAt: () => number;
-  /** How well other hosts reach the store: the best of some that are asked. */
+  /** Probes how well other hosts reach the store; @returns the best result of some hosts. */
   askOthers: () => Promise<Touch>;
 }
 
-/** What a host does that is cut off. */
-export interface CutLeave {
-  /** Items that this host has to run. */
+/** Actions of a host that is partitioned from the store. */
+export interface PartitionActions {
+  /** Number of items that this host has to run. */
   openItems: () => number;
-  /** Says so through others, and hands the batches over; @returns whether others know. */
+  /**
+   * Announces through other hosts that this host is leaving, and hands its batches over; @returns
+   * whether the announcement was written.
+   */
   leave: () => Promise<boolean>;
 }
 
 /**
- * Hands this host's batches over while it alone does not reach the store.
+ * Hands this host's batches over while this host alone is partitioned from the store.
  *
- * The store turns single hosts away for seconds, or a link breaks. Such a host can list no result,
- * and hears of no new batch, nor of the end of one; the others take it for dead and make its items
- * anew from what it had written down, beside its own runs, which take slots and are in vain. Other
- * hosts mostly still reach it, so it gives them its batches with the texts so far, and stops; and it
- * has one of them write down that it leaves, so that new batches go to the next host at once and not
- * after the life of a heartbeat. Its own next heartbeat says that it is back. While nobody reaches
- * the store it goes on: there is nobody better.
+ * The store rejects single hosts for seconds, or a link fails. Such a host can list no result, and
+ * reads neither new batches nor the ends of batches. The other hosts consider it dead and resume
+ * its items from the parts that it has written, while its own runs occupy slots for nothing. Since
+ * other hosts mostly still reach it, it hands its batches and their partial texts over to them and
+ * stops. It also has one of them announce that it is leaving, so that new batches go to the next
+ * host at once and not after the expiry of its heartbeat. Its own next heartbeat revokes the
+ * announcement. While no host reaches the store it continues, since no other host is in a better
+ * position.
  */
 const newCutWatch = ({ clock, log, freshAt, askOthers }: CutWatchOptions) => {
-  let askAt = -Infinity;
+  let nextProbeAt = -Infinity;
   let isAnnounced = false;
-  /** When another host was asked that turned out to read the store. */
-  let othersReadAt = -Infinity;
+  /** Time at which the last peer that proved able to read the store was probed. */
+  let peersReadAt = -Infinity;
 
-  const isStale = (): boolean => freshAt() !== -Infinity && clock.now() > freshAt() + CUT_AFTER_MS;
+  const isStale = (): boolean =>
+    freshAt() !== -Infinity && clock.now() > freshAt() + MAX_VIEW_AGE_MS;
 
-  const isCutOff = (): boolean => othersReadAt > freshAt();
+  const isCutOff = (): boolean => peersReadAt > freshAt();
 
-  const noteOthersRead = (askedAt: number, touch: Touch): void => {
+  const notePeersRead = (askedAt: number, touch: Touch): void => {
     const viewAgeMs = Math.round(clock.now() - freshAt());
     if (!isCutOff()) log.warn('host.behind', { viewAgeMs, touch });
-    othersReadAt = askedAt;
+    peersReadAt = askedAt;
   };
 
-  const leaveIfAlone = async ({ openItems, leave }: CutLeave): Promise<void> => {
+  const leaveIfPartitioned = async ({ openItems, leave }: PartitionActions): Promise<void> => {
     const askedAt = clock.now();
-    askAt = askedAt + ASK_EVERY_MS;
+    nextProbeAt = askedAt + PROBE_INTERVAL_MS;
     const touch = await askOthers();
-    if (touch !== 'none') noteOthersRead(askedAt, touch);
-    // After an outage for all some hosts read again before others: those are not cut off.
+    if (touch !== 'none') notePeersRead(askedAt, touch);
+    // A host that resumes reading later than others after a general outage is not partitioned.
     if (touch !== 'steady') return;
-    const cut = { viewAgeMs: Math.round(clock.now() - freshAt()), items: openItems() };
+    const details = { viewAgeMs: Math.round(clock.now() - freshAt()), items: openItems() };
     isAnnounced = (await leave()) || isAnnounced;
-    log.warn('host.cut-off', { ...cut, isAnnounced });
+    log.warn('host.cut-off', { ...details, isAnnounced });
   };
 
   return {
-    run: async (cutLeave: CutLeave, signal: AbortSignal): Promise<void> => {
+    run: async (actions: PartitionActions, signal: AbortSignal): Promise<void> => {
       while (!signal.aborted) {
-        const isDone = isAnnounced && cutLeave.openItems() === 0;
+        const isDone = isAnnounced && actions.openItems() === 0;
         if (!isStale()) isAnnounced = false;
-        else if (!isDone && clock.now() >= askAt) await leaveIfAlone(cutLeave);
-        await clock.sleepUntil(clock.now() + CHECK_EVERY_MS, signal);
+        else if (!isDone && clock.now() >= nextProbeAt) await leaveIfPartitioned(actions);
+        await clock.sleepUntil(clock.now() + CHECK_INTERVAL_MS, signal);
       }
     },
-    /** Whether another host has read the store since this one last did. */
+    /** Whether another host has read the store since this host last did. */
     isCutOff,
   };
 };
--- a/packages/batches/src/handoverOf.ts
+++ b/packages/batches/src/newHandover.ts
@@ -4,10 +4,10 @@
 import type { ItemTask } from './newTaskList.js';
 
 /**
- * What another host needs to go on with a batch at once.
- * @returns null where the batch has ended or its requests are not here
+ * Creates the handover with which another host can resume a batch at once.
+ * @returns null if the batch has ended or its requests are not loaded
  */
-const handoverOf = (
+const newHandover = (
   state: BatchState,
   tasks: ItemTask[],
   from: string,
@@ -24,4 +24,4 @@
   };
 };
 
-export default handoverOf;
+export default newHandover;
--- a/packages/batches/src/newHandOver.ts
+++ b/packages/batches/src/newHandoverSender.ts
@@ -2,39 +2,40 @@
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 import type { Handover } from './batchRecord.js';
 import type { Batches, BatchState } from './newBatches.js';
-import handoverOf from './handoverOf.js';
+import newHandover from './newHandover.js';
 import type { PartSaver } from './newPartSaver.js';
 import type { ItemTask, TaskList } from './newTaskList.js';
 
-export interface HandOverOptions {
+export interface HandoverSenderOptions {
   log: EventLog;
   batches: Batches;
   tasks: TaskList;
-  /** This run of the process. */
+  /** Incarnation of this process. */
   incarnation: string;
-  /** Has another host go on with a batch; @returns its name, null where none does. */
+  /** Hands a batch over to another host; @returns its name, null if no host takes it. */
   handOverTo: (handover: Handover) => Promise<string | null>;
   savePart: PartSaver;
   onHandedOver: () => void;
 }
 
 /**
- * Has other hosts go on with all that runs here.
+ * Hands all batches that run on this host over to other hosts.
  *
- * A host that is stopped would take the texts with it, and the longest ones would miss their step.
- * Written down they are found by the next owner once it knows that it is the next; but while the
- * store is away nothing can be written, nobody learns that this host leaves, and its items would
- * stand still until the end of the outage. So each batch goes straight to the next host in turn.
+ * The texts of a stopped host would be lost with it, and the longest ones would miss their step.
+ * Texts that it writes to the store are found by the next owner once that host knows that it is the
+ * owner. During a store outage, however, nothing can be written, no host learns that this one is
+ * leaving, and its items would be idle until the end of the outage. So each batch is sent directly
+ * to the next host in order of preference.
  */
-const newHandOver = (options: HandOverOptions) => {
+const newHandoverSender = (options: HandoverSenderOptions) => {
   const { log, batches, tasks, incarnation, handOverTo, savePart, onHandedOver } = options;
 
   const handOverBatch = async (
     state: BatchState,
     open: ItemTask[],
-    isCut: boolean,
+    isPartitioned: boolean,
   ): Promise<void> => {
-    const handover = handoverOf(state, open, incarnation, isCut);
+    const handover = newHandover(state, open, incarnation, isPartitioned);
     if (!handover) return;
     const successor = await handOverTo(handover);
     if (successor === null) return;
@@ -43,20 +44,20 @@
   };
 
   /**
-   * @param reason a host that is stopped ends its runs in any case; one that is cut off ends those
-   * that another host goes on with
+   * @param reason a host that is stopped ends its runs in any case; one that is cut off ends only
+   * the runs of batches that another host takes over
    */
   return async (reason: 'stopped' | 'cut off'): Promise<void> => {
     const open = tasks.all();
-    const isCut = reason === 'cut off';
-    if (!isCut) open.forEach((task) => task.controller.abort('handed over'));
+    const isPartitioned = reason === 'cut off';
+    if (!isPartitioned) open.forEach((task) => task.controller.abort('handed over'));
     const groups = groupBy(open, ({ state }) => state);
     await Promise.all([
-      ...[...groups].map(([state, list]) => handOverBatch(state, list, isCut)),
+      ...[...groups].map(([state, list]) => handOverBatch(state, list, isPartitioned)),
       ...open.map(savePart),
     ]);
     log.info('items.handed-over', { items: open.length, batches: groups.size });
   };
 };
 
-export default newHandOver;
+export default newHandoverSender;
--- a/packages/batches/src/newItemFinisher.ts
+++ b/packages/batches/src/newItemFinisher.ts
@@ -4,29 +4,37 @@
 import type { ItemResult, TextPlace } from './batchRecord.js';
 import type { ItemScorer } from './newItemScorer.js';
 import type { BatchState } from './newBatches.js';
-import type { ItemEnding, ItemTask } from './newTaskList.js';
+import type { ItemOutcome, ItemTask } from './newTaskList.js';
 
-/** A result is written until it stands or its batch is over; each try lasts so long. */
+/**
+ * Time limit of each attempt to write a result; attempts are repeated until the result is written
+ * or the batch has ended.
+ */
 const WRITE_TIMEOUT_MS = 10_000;
 
 export interface ItemFinisherOptions {
   clock: Clock;
   log: EventLog;
   scorer: ItemScorer;
-  /** Whether the view is new enough to work on a batch. */
+  /** Whether the view is current enough to work on a batch. */
   mayWork: (state: BatchState) => boolean;
   write: (result: ItemResult, deadline: number) => Promise<WriteOutcome>;
   writeText: (batch: string, text: string, deadline: number) => Promise<TextPlace | null>;
 }
 
-/** Brings an item to its end: scores its whole text, or gives it up, and writes the result. */
+/** Finishes items: scores the complete text or abandons the item, and writes the result. */
 const newItemFinisher = (options: ItemFinisherOptions) => {
   const { clock, log, scorer, mayWork, write, writeText } = options;
 
-  const writeEnding = async (task: ItemTask, ending: ItemEnding): Promise<void> => {
+  const writeResult = async (task: ItemTask, itemOutcome: ItemOutcome): Promise<void> => {
     const { state, item } = task;
     task.phase = 'writing';
-    const record = { type: 'result' as const, batch: state.batch.id, item: item.id, ...ending };
+    const record = {
+      type: 'result' as const,
+      batch: state.batch.id,
+      item: item.id,
+      ...itemOutcome,
+    };
     let outcome: WriteOutcome = 'not-written';
     while (outcome !== 'written' && !task.controller.signal.aborted) {
       outcome = await write(record, clock.now() + WRITE_TIMEOUT_MS);
@@ -34,8 +42,8 @@
     log.info('item.finished', {
       batch: state.batch.id,
       requestId: item.id,
-      state: ending.state,
-      versions: ending.versions,
+      state: itemOutcome.state,
+      versions: itemOutcome.versions,
       events: task.progress.events.length,
       runs: task.runs,
       tookMs: Math.round(clock.now() - task.createdAt),
@@ -44,13 +52,13 @@
   };
 
   /**
-   * Writes an item's result once its batch stands in the log: hosts pass over a result of a batch that
-   * they do not know, while its writer takes it for written, and the item would never be listed.
+   * Writes an item's result once its batch is in the log. Hosts ignore a result of a batch that
+   * they do not know while its writer considers it written, and the item would never be listed.
    */
-  const finish = async (task: ItemTask, ending: ItemEnding): Promise<void> => {
-    task.ending = ending;
+  const finish = async (task: ItemTask, itemOutcome: ItemOutcome): Promise<void> => {
+    task.outcome = itemOutcome;
     task.phase = 'unwritten';
-    if (task.state.isStored) await writeEnding(task, ending);
+    if (task.state.isStored) await writeResult(task, itemOutcome);
   };
 
   const abandon = (task: ItemTask, reason: string): Promise<void> => {
@@ -58,7 +66,7 @@
     return finish(task, { state: 'abandoned', text: null, versions: [], score: null });
   };
 
-  const keepText = async (task: ItemTask): Promise<void> => {
+  const storeText = async (task: ItemTask): Promise<void> => {
     const text = task.progress.events.join('\n');
     while (!task.place && !task.controller.signal.aborted) {
       task.place = await writeText(task.state.batch.id, text, clock.now() + WRITE_TIMEOUT_MS);
@@ -66,21 +74,21 @@
   };
 
   /**
-   * An old view may lack the end of the batch; a score asked for then would be paid for by a customer
-   * who wants it no more. The text waits for a new one.
+   * Scores a complete text if the view is current. A stale view may lack the end of the batch, and
+   * the customer would pay for a score that is no longer wanted. The text waits for a current view.
    */
   const score = async (task: ItemTask): Promise<void> => {
-    task.textAt ??= clock.now();
+    task.textCompletedAt ??= clock.now();
     task.phase = 'unscored';
     if (!mayWork(task.state)) return;
     task.phase = 'scoring';
     const { signal } = task.controller;
     const { scoring } = task.item;
-    const keeping = keepText(task);
+    const storing = storeText(task);
     const outcome = scoring ? await scorer(scoring, () => mayWork(task.state), signal) : null;
-    await keeping;
+    await storing;
     if (outcome?.type === 'ended' || signal.aborted) return;
-    if (outcome?.type === 'hopeless') {
+    if (outcome?.type === 'failed') {
       await abandon(task, 'scoring failed too often');
       return;
     }
@@ -92,9 +100,9 @@
     });
   };
 
-  /** Goes on with an item whose result waited for its batch. */
+  /** Resumes an item whose result has waited for its batch to be in the log. */
   const resume = async (task: ItemTask): Promise<void> => {
-    if (task.ending && task.state.isStored) await writeEnding(task, task.ending);
+    if (task.outcome && task.state.isStored) await writeResult(task, task.outcome);
   };
 
   return { abandon, score, resume };
--- a/packages/batches/src/newItemScorer.ts
+++ b/packages/batches/src/newItemScorer.ts
@@ -5,19 +5,22 @@
 import type { EffectiveSettings } from '@cyclamengate/gateway/newSettingsView';
 import type { Item } from './batchRecord.js';
 
-/** Time for one call; scoring takes 45 ms, at most 220 ms. */
-const CALL_MS = 1_500;
-/** A second upstream may be asked within one call when the first is silent. */
-const UPSTREAMS_A_CALL = 2;
-/** Nobody waits for a single score; a second call costs a slot and a connection. */
+/** Time limit of one call; scoring takes 45 ms, at most 220 ms. */
+const CALL_TIMEOUT_MS = 1_500;
+/** A second upstream may be called within one call if the first is unresponsive. */
+const MAX_UPSTREAMS_PER_CALL = 2;
+/**
+ * Delay before a hedged request: no caller waits for a single score, and a second request costs a
+ * slot and a connection.
+ */
 const HEDGE_AFTER_MS = 300;
-const FIRST_PAUSE_MS = 40;
-const LONGEST_PAUSE_MS = 500;
+const INITIAL_BACKOFF_MS = 40;
+const MAX_BACKOFF_MS = 500;
 
 export type ScoreOutcome =
   | { type: 'score'; score: string }
-  /** The scoring service failed it as often as the route allows. */
-  | { type: 'hopeless' }
+  /** The scoring service failed as often as the route allows. */
+  | { type: 'failed' }
   | { type: 'ended' };
 
 export interface ItemScorerOptions {
@@ -27,7 +30,7 @@
   readSettings: () => EffectiveSettings | null;
 }
 
-/** Gets an item's score: the signature of the scoring service under its answer. */
+/** Requests an item's score: the signature of the scoring service's response. */
 const newItemScorer = ({ clock, log, relay, readSettings }: ItemScorerOptions) => {
   const call = async (scoring: NonNullable<Item['scoring']>, signal: AbortSignal) => {
     const effective = readSettings();
@@ -45,14 +48,14 @@
       lastEventId: null,
       service,
       isIdempotent: true,
-      mostUpstreams: UPSTREAMS_A_CALL,
-      deadline: clock.now() + CALL_MS,
+      mostUpstreams: MAX_UPSTREAMS_PER_CALL,
+      deadline: clock.now() + CALL_TIMEOUT_MS,
       hedgeAfterMs: HEDGE_AFTER_MS,
     };
     return { route, outcome: await relay(request, signal) };
   };
 
-  /** @param mayCall whether the item's batch is known to be wanted still */
+  /** @param mayCall whether the item's batch is known to be still wanted */
   return async (
     scoring: NonNullable<Item['scoring']>,
     mayCall: () => boolean,
@@ -69,11 +72,11 @@
         if (answer.status === 500) failures += 1;
         if (failures >= called.route.mostUpstreams) {
           log.warn('scoring.hopeless', { requestId: scoring.id, failures });
-          return { type: 'hopeless' };
+          return { type: 'failed' };
         }
       }
-      const pauseMs = Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(calls, 6));
-      await clock.sleepUntil(clock.now() + pauseMs, signal);
+      const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** Math.min(calls, 6));
+      await clock.sleepUntil(clock.now() + backoffMs, signal);
     }
     return { type: 'ended' };
   };
--- a/packages/batches/src/newPart.ts
+++ b/packages/batches/src/newPart.ts
@@ -2,11 +2,11 @@
 import type { ItemTask } from './newTaskList.js';
 
 /**
- * An item's text from some event on, as it is written down or handed over.
- * @param from events that the writer's earlier pieces hold
+ * Creates the part of an item's text that follows an event, to be written or handed over.
+ * @param from number of events in the writer's earlier parts
  */
 const newPart = (
-  { state, item, progress, textAt }: ItemTask,
+  { state, item, progress, textCompletedAt }: ItemTask,
   writer: string,
   from: number,
 ): Part => ({
@@ -18,7 +18,7 @@
   events: progress.events.slice(from),
   lastEventId: progress.lastEventId,
   versions: [...progress.versions],
-  isWhole: textAt !== null,
+  isWhole: textCompletedAt !== null,
 });
 
 export default newPart;
--- a/packages/batches/src/newPartTexts.ts
+++ b/packages/batches/src/newPartTexts.ts
@@ -2,53 +2,57 @@
 import type { Part } from './batchRecord.js';
 import type { Progress } from './progress.js';
 
-/** Batches are over 12 s after they were accepted; a carried-over group comes again within a step. */
+/**
+ * Batches end within 12 s of being accepted; a group that is carried over is sent again within a
+ * step.
+ */
 export const PART_LIFE_MS = 30_000;
 
-/** Text of an item as its newest writer left it. */
-export interface PartText {
+/** Text of an item as written by its most recent writer. */
+export interface PartialText {
   batch: string;
   writer: string;
   progress: Progress;
-  isWhole: boolean;
-  deadline: number;
+  isComplete: boolean;
+  expiresAt: number;
 }
 
 /**
- * Texts that are under way, put together from the pieces that their hosts wrote.
+ * Assembles partial texts from the parts that hosts have written.
  *
- * A host that was thought dead can still write while another goes on with its items. Pieces of two
- * runs joined would be a text that no engine made: so a piece continues only its own writer's.
+ * A host that was considered dead may still write while another host resumes its items. Parts of
+ * two incarnations would join to a text that no engine generated, so a part continues only the
+ * parts of its own writer.
  */
 const newPartTexts = (clock: Clock) => {
-  const texts = new Map<string, PartText>();
+  const texts = new Map<string, PartialText>();
 
-  const isContinued = (known: PartText | undefined, { writer, from }: Part): boolean =>
-    known?.writer === writer && known.progress.events.length === from;
+  const isContinuation = (current: PartialText | undefined, { writer, from }: Part): boolean =>
+    current?.writer === writer && current.progress.events.length === from;
 
   const forgetOld = (): void =>
-    texts.forEach(({ deadline }, item) => {
-      if (deadline < clock.now()) texts.delete(item);
+    texts.forEach(({ expiresAt }, item) => {
+      if (expiresAt < clock.now()) texts.delete(item);
     });
 
   return {
     apply: (part: Part): void => {
       const { batch, item, writer, from, events, lastEventId, versions, isWhole } = part;
-      const known = texts.get(item);
-      if (from > 0 && !isContinued(known, part)) return;
-      const earlier = from > 0 ? (known?.progress.events ?? []) : [];
+      const current = texts.get(item);
+      if (from > 0 && !isContinuation(current, part)) return;
+      const earlier = from > 0 ? (current?.progress.events ?? []) : [];
       const progress = { events: [...earlier, ...events], lastEventId, versions };
-      const deadline = clock.now() + PART_LIFE_MS;
-      texts.set(item, { batch, writer, progress, isWhole, deadline });
+      const expiresAt = clock.now() + PART_LIFE_MS;
+      texts.set(item, { batch, writer, progress, isComplete: isWhole, expiresAt });
     },
     forgetOld,
-    get: (item: string): PartText | undefined => texts.get(item),
-    forget: (item: string): void => {
+    get: (item: string): PartialText | undefined => texts.get(item),
+    remove: (item: string): void => {
       texts.delete(item);
     },
   };
 };
 
-export type PartTexts = ReturnType<typeof newPartTexts>;
+export type PartialTexts = ReturnType<typeof newPartTexts>;
 
 export default newPartTexts;
--- a/packages/batches/src/newPeerCalls.ts
+++ b/packages/batches/src/newPeerCalls.ts
@@ -4,14 +4,14 @@
 import isListening from './isListening.js';
 import type { PeerRouter } from './peerRouter.js';
 
-/** Then it is looked whether the host is there at all; most calls take less. */
+/** Delay before the host's reachability is probed; most calls take less. */
 const PROBE_AFTER_MS = 150;
-/** Then the call is made a second time: the first one's connection may be silent for good. */
-const REPEAT_AFTER_MS = 800;
-/** A host that is gone is not asked for so long; cuts last some seconds. */
-const GONE_MS = 3_000;
+/** Delay before the call is made a second time, since the connection of the first may be dead. */
+const HEDGE_AFTER_MS = 800;
+/** Time for which an unreachable host is not called again; network partitions last some seconds. */
+const UNREACHABLE_TTL_MS = 3_000;
 
-/** How another host is reached. */
+/** Address of another host. */
 export interface PeerAddress {
   host: string;
   /** IP address and port for other hosts. */
@@ -20,26 +20,27 @@
 
 export type PeerClient = ReturnType<typeof createTRPCClient<PeerRouter>>;
 
-/** A call to another host, which may arrive more than once. */
+/** A call to another host, which may be delivered more than once. */
 export interface PeerCall<Value> {
   name: string;
   run: (client: PeerClient, signal: AbortSignal) => Promise<Value>;
 }
 
 /**
- * What became of a call. A host that is `gone` does not accept connections: it is down, or beyond a
- * cut. One that is `late` is there and has not answered in time: it may have done what it was asked.
+ * Outcome of a call. A host that is `gone` does not accept connections: it is down or behind a
+ * network partition. A host that is `late` accepts connections but has not answered in time, and
+ * may have executed the call.
  */
 export type PeerAnswer<Value> = { type: 'answer'; value: Value } | { type: 'late' | 'gone' };
 
-/** What a host said, or how it was silent; for a log line. */
-export const wordOf = <Value>(answer: PeerAnswer<Value>): Value | string =>
+/** A host's answer or the type of its failure, for a log line. */
+export const describeAnswer = <Value>(answer: PeerAnswer<Value>): Value | string =>
   answer.type === 'answer' ? answer.value : answer.type;
 
-/** Calls to other hosts, which tell one that is late from one that is gone. */
+/** Calls other hosts, and distinguishes late hosts from unreachable ones. */
 const newPeerCalls = (clock: Clock, log: EventLog) => {
   const clients = new Map<string, PeerClient>();
-  const goneUntil = new Map<string, number>();
+  const unreachableUntil = new Map<string, number>();
 
   const clientOf = ({ address }: PeerAddress): PeerClient => {
     const client =
@@ -50,29 +51,29 @@
   };
 
   /**
-   * Looks whether a host is there, once a call has failed or is slow.
-   * @param over the call has ended, and nobody needs to know
+   * Probes whether a host is reachable once a call has failed or is slow.
+   * @param ended aborted once the call has ended and the result is not needed
    */
-  const isThere = async (
+  const probe = async (
     peer: PeerAddress,
     failed: AbortSignal,
-    over: AbortSignal,
+    ended: AbortSignal,
   ): Promise<boolean> => {
-    await clock.sleepUntil(clock.now() + PROBE_AFTER_MS, AbortSignal.any([failed, over]));
-    if (over.aborted) return true;
-    const is = await isListening(peer.address);
-    if (!is) goneUntil.set(peer.host, clock.now() + GONE_MS);
-    return is;
+    await clock.sleepUntil(clock.now() + PROBE_AFTER_MS, AbortSignal.any([failed, ended]));
+    if (ended.aborted) return true;
+    const isReachable = await isListening(peer.address);
+    if (!isReachable) unreachableUntil.set(peer.host, clock.now() + UNREACHABLE_TTL_MS);
+    return isReachable;
   };
 
-  const askNow = async <Value>(
+  const askUncached = async <Value>(
     peer: PeerAddress,
     limitMs: number,
     call: PeerCall<Value>,
   ): Promise<PeerAnswer<Value>> => {
-    const over = new AbortController();
+    const ended = new AbortController();
     const failed = new AbortController();
-    const signal = AbortSignal.any([over.signal, AbortSignal.timeout(limitMs)]);
+    const signal = AbortSignal.any([ended.signal, AbortSignal.timeout(limitMs)]);
     const startedAt = clock.now();
     let reason = 'silent';
     const run = async (): Promise<Value> => {
@@ -85,17 +86,19 @@
       throw error;
     });
     const second = clock
-      .sleepUntil(startedAt + REPEAT_AFTER_MS, AbortSignal.any([signal, failed.signal]))
+      .sleepUntil(startedAt + HEDGE_AFTER_MS, AbortSignal.any([signal, failed.signal]))
       .then(run);
-    const there = isThere(peer, failed.signal, over.signal);
+    const reachability = probe(peer, failed.signal, ended.signal);
     const answer: PeerAnswer<Value> = await Promise.race([
       Promise.any([first, second]).then(
         (value) => ({ type: 'answer' as const, value }),
-        async () => ({ type: (await there) ? ('late' as const) : ('gone' as const) }),
+        async () => ({ type: (await reachability) ? ('late' as const) : ('gone' as const) }),
+      ),
+      reachability.then((isReachable) =>
+        isReachable ? new Promise<never>(() => {}) : { type: 'gone' as const },
       ),
-      there.then((is) => (is ? new Promise<never>(() => {}) : { type: 'gone' as const })),
     ]);
-    over.abort('over');
+    ended.abort('over');
     const { type } = answer;
     const tookMs = Math.round(clock.now() - startedAt);
     if (type !== 'answer') {
@@ -104,19 +107,19 @@
     return answer;
   };
 
-  const isGone = ({ host }: PeerAddress): boolean =>
-    clock.now() < (goneUntil.get(host) ?? -Infinity);
+  const isKnownUnreachable = ({ host }: PeerAddress): boolean =>
+    clock.now() < (unreachableUntil.get(host) ?? -Infinity);
 
   return {
-    /** Calls a host, however it answered before. */
-    askNow,
-    /** Calls a host, unless it was gone a moment ago. */
+    /** Calls a host even if it was unreachable a moment ago. */
+    askUncached,
+    /** Calls a host unless it was unreachable a moment ago. */
     ask: async <Value>(
       peer: PeerAddress,
       limitMs: number,
       call: PeerCall<Value>,
     ): Promise<PeerAnswer<Value>> => {
-      if (!isGone(peer)) return askNow(peer, limitMs, call);
+      if (!isKnownUnreachable(peer)) return askUncached(peer, limitMs, call);
       log.warn('peer.passed-over', { call: call.name, peer: peer.host });
       return { type: 'gone' };
     },
--- a/packages/batches/src/newPeerServer.ts
+++ b/packages/batches/src/newPeerServer.ts
@@ -3,7 +3,7 @@
 import { newPeerRouter } from './peerRouter.js';
 import type { PeerService } from './peerRouter.js';
 
-/** The server through which other hosts reach this one. */
+/** Creates the server for calls from other hosts. */
 const newPeerServer = (service: PeerService) =>
   createServer(createHTTPHandler({ router: newPeerRouter(service), basePath: '/trpc/' }));
 
--- a/packages/batches/src/newPeers.ts
+++ b/packages/batches/src/newPeers.ts
@@ -2,37 +2,46 @@
 import type { Heartbeat } from '@cyclamengate/hosts/coordinationRecord';
 import type { WriteOutcome } from '@cyclamengate/store/newStoreWriter';
 import type { Batch, BatchChange, Handover } from './batchRecord.js';
-import newBeginOrders, { PATIENCE_MS } from './newBeginOrders.js';
-import type { BeginCandidate, BeginOrderOptions } from './newBeginOrders.js';
+import newBatchDispatcher, { CALL_TIMEOUT_MS } from './newBatchDispatcher.js';
+import type { BeginCandidate, BatchDispatcherOptions } from './newBatchDispatcher.js';
 import newPeerCalls from './newPeerCalls.js';
 import type { PeerAnswer } from './newPeerCalls.js';
 import { writeOutcomeSchema } from './peerRouter.js';
 import type { Touch } from './peerRouter.js';
 
-/** Asked at once: with a third of the hosts cut off from the store, one in 27 times all three are. */
-const MOST_ASKED = 3;
+/**
+ * Number of peers that are asked concurrently: with a third of the hosts partitioned from the
+ * store, all three are partitioned in one of 27 cases.
+ */
+const MAX_PEERS_ASKED = 3;
 /** A host that reaches the store writes within 10 ms; the call crosses failure domains twice. */
-const KEEP_MS = 500;
-const ANSWER_MS = 150;
-/** A look at the store takes 300 ms where it is away. */
-const TOUCH_MS = 800;
-/** Hosts that are asked in turn to take a batch over; a third of them may be cut off as well. */
-const MOST_SUCCESSORS = 5;
+const WRITE_TIMEOUT_MS = 500;
+const ROUND_TRIP_MS = 150;
+/** A host needs 300 ms to probe a store that is unavailable. */
+const PROBE_TIMEOUT_MS = 800;
+/**
+ * Number of hosts that are asked in order of preference to take a batch over; a third of them may
+ * be partitioned as well.
+ */
+const MAX_SUCCESSORS = 5;
 
-/** Another host, as its heartbeats tell of it. */
+/** Another host, as described by its heartbeats. */
 export interface Peer extends BeginCandidate {
   failureDomain: string;
 }
 
-export interface PeersOptions extends Omit<BeginOrderOptions, 'calls' | 'readPeers'> {
+export interface PeersOptions extends Omit<BatchDispatcherOptions, 'calls' | 'readPeers'> {
   clock: Clock;
   failureDomain: string;
-  /** Hosts that were live when this one last heard of them, without itself. */
+  /** Other hosts that were live according to the last heartbeats that this host has read. */
   readPeers: () => Peer[];
   random?: () => number;
 }
 
-/** Peers in a random order, those of other failure domains first: a cut mostly takes a whole one. */
+/**
+ * Chooses peers at random, those of other failure domains first: a network partition mostly affects
+ * a whole failure domain.
+ */
 export const choosePeers = (
   peers: Peer[],
   failureDomain: string,
@@ -41,52 +50,53 @@
   peers
     .map((peer) => ({ peer, at: random() + (peer.failureDomain === failureDomain ? 1 : 0) }))
     .sort((left, right) => left.at - right.at)
-    .slice(0, MOST_ASKED)
+    .slice(0, MAX_PEERS_ASKED)
     .map(({ peer }) => peer);
 
 const isAnswer = <Value>(answer: PeerAnswer<Value> | undefined, value: Value): boolean =>
   answer?.type === 'answer' && answer.value === value;
 
 /**
- * Other hosts, which may reach the store while this one does not.
+ * Calls other hosts, which may reach the store while this one does not.
  *
- * The store turns single hosts away, or a link between them fails, for seconds. A caller that came
- * to such a host would be refused though the system could serve it.
+ * The store rejects single hosts, or a link to it fails, for seconds. A caller of such a host would
+ * be refused although the system could serve it.
  */
 const newPeers = (options: PeersOptions) => {
   const { clock, log, failureDomain, readPeers, rank, random } = options;
   const calls = newPeerCalls(clock, log);
-  const { ask, askNow } = calls;
-  const beginOrders = newBeginOrders({ ...options, calls });
+  const { ask, askUncached } = calls;
+  const dispatcher = newBatchDispatcher({ ...options, calls });
 
-  const askToKeep = async (peer: Peer, record: BatchChange): Promise<WriteOutcome> => {
-    const answer = await askNow(peer, KEEP_MS + ANSWER_MS, {
+  const askToWrite = async (peer: Peer, record: BatchChange): Promise<WriteOutcome> => {
+    const answer = await askUncached(peer, WRITE_TIMEOUT_MS + ROUND_TRIP_MS, {
       name: 'keep',
-      run: (client, signal) => client.keep.mutate({ record, withinMs: KEEP_MS }, { signal }),
+      run: (client, signal) =>
+        client.keep.mutate({ record, withinMs: WRITE_TIMEOUT_MS }, { signal }),
     });
-    // A peer that never got the call can't be told from one whose answer was lost.
+    // A peer that did not receive the call cannot be distinguished from one whose answer was lost.
     return answer.type === 'answer' ? writeOutcomeSchema.parse(answer.value) : 'unknown';
   };
 
   const peersByName = (): Map<string, Peer> =>
     new Map(readPeers().map((peer) => [peer.host, peer]));
 
-  /** Other hosts in the order in which they come for a batch. */
-  const successorsOf = (batch: Batch): Peer[] => {
+  /** Other hosts in order of preference for a batch. */
+  const rankSuccessors = (batch: Batch): Peer[] => {
     const peers = peersByName();
     return rank(batch, [...peers.values()]).flatMap((name) => peers.get(name) ?? []);
   };
 
   return {
-    begin: beginOrders.begin,
+    begin: dispatcher.begin,
     /**
-     * Has the next host in turn go on with a batch.
-     * @returns that host's name; null where none takes it
+     * Hands a batch over to the first host in order of preference that takes it.
+     * @returns the name of that host; null if no host takes it
      */
     handOver: async (handover: Handover): Promise<string | null> => {
       const { batch, texts } = handover;
-      for (const peer of successorsOf(batch).slice(0, MOST_SUCCESSORS)) {
-        const answer = await ask(peer, PATIENCE_MS, {
+      for (const peer of rankSuccessors(batch).slice(0, MAX_SUCCESSORS)) {
+        const answer = await ask(peer, CALL_TIMEOUT_MS, {
           name: 'takeOver',
           run: (client, signal) => client.takeOver.mutate(handover, { signal }),
         });
@@ -98,10 +108,13 @@
       log.warn('batch.not-handed-over', { batch: batch.id, texts: texts.length });
       return null;
     },
-    /** Has others write down that this host, which does not reach the store, takes no new work. */
+    /**
+     * Asks other hosts to announce that this host, which does not reach the store, takes no new
+     * work.
+     */
     announce: async (heartbeat: Heartbeat): Promise<boolean> => {
       for (const peer of choosePeers(readPeers(), failureDomain, random)) {
-        const answer = await ask(peer, KEEP_MS + ANSWER_MS, {
+        const answer = await ask(peer, WRITE_TIMEOUT_MS + ROUND_TRIP_MS, {
           name: 'announce',
           run: (client, signal) => client.announce.mutate(heartbeat, { signal }),
         });
@@ -110,15 +123,16 @@
       return false;
     },
     /**
-     * How well others reach the store that this host does not reach: the best of those asked. Just
-     * after a cut has healed none has answered lately, and one that is not asked for that reason
-     * would let this host take the cut for an outage for all.
+     * Probes how well other hosts reach the store that this host does not reach, and returns the
+     * best result. Hosts that were unreachable a moment ago are probed too: just after a partition
+     * has healed no host has answered lately, and without probes this host would take the partition
+     * for a general outage.
      */
     touch: async (): Promise<Touch> => {
       const chosen = choosePeers(readPeers(), failureDomain, random);
       const answers = await Promise.all(
         chosen.map((peer) =>
-          askNow(peer, TOUCH_MS, {
+          askUncached(peer, PROBE_TIMEOUT_MS, {
             name: 'touch',
             run: (client, signal) => client.touch.query(undefined, { signal }),
           }),
@@ -127,13 +141,15 @@
       if (answers.some((answer) => isAnswer(answer, 'steady'))) return 'steady';
       return answers.some((answer) => isAnswer(answer, 'new')) ? 'new' : 'none';
     },
-    /** Asks some peers to write a record; ends with the first that has. */
+    /** Asks some peers to write a record; returns as soon as one has written it. */
     keep: async (record: BatchChange): Promise<WriteOutcome> => {
       const chosen = choosePeers(readPeers(), failureDomain, random);
       const startedAt = clock.now();
-      const asked = chosen.map((peer) => askToKeep(peer, record));
+      const asked = chosen.map((peer) => askToWrite(peer, record));
       const written = asked.map(async (answer) =>
-        (await answer) === 'written' ? ('written' as const) : Promise.reject(new Error('not yet')),
+        (await answer) === 'written'
+          ? ('written' as const)
+          : Promise.reject(new Error('not written')),
       );
       const outcome: WriteOutcome = await Promise.any(written).catch(async () =>
         (await Promise.all(asked)).includes('unknown') ? 'unknown' : 'not-written',
--- a/packages/batches/src/newRecordReader.ts
+++ b/packages/batches/src/newRecordReader.ts
@@ -12,7 +12,7 @@
   apply: (record: T, offset: number) => void;
 }
 
-/** Takes a topic's records as the store has them, puts pieces together, and passes on what is sound. */
+/** Reassembles and parses the records of a topic, and applies the valid ones. */
 const newRecordReader = <T>({ log, topic, schema, apply }: RecordReaderOptions<T>) => {
   const assemble = newRecordAssembler();
 
--- a/packages/batches/src/newRunSettler.ts
+++ b/packages/batches/src/newRunEndHandler.ts
@@ -10,11 +10,11 @@
 import type { ItemTask } from './newTaskList.js';
 import type { RunEnd } from './runOnce.js';
 
-/** First pause of an item after a failed run; doubles. */
-const FIRST_PAUSE_MS = 30;
-const LONGEST_PAUSE_MS = 800;
+/** Backoff of an item after its first failed run; doubles with each further one. */
+const INITIAL_BACKOFF_MS = 30;
+const MAX_BACKOFF_MS = 800;
 
-export interface RunSettlerOptions extends Pick<ItemFinisher, 'abandon' | 'score'> {
+export interface RunEndHandlerOptions extends Pick<ItemFinisher, 'abandon' | 'score'> {
   clock: Clock;
   log: EventLog;
   health: Health;
@@ -24,18 +24,18 @@
   notifier: Notifier;
 }
 
-/** Decides what follows the end of an item's run: its score, another run, or that it is given up. */
-const newRunSettler = (options: RunSettlerOptions) => {
+/** Handles the end of an item's run: scores the item, runs it again, or abandons it. */
+const newRunEndHandler = (options: RunEndHandlerOptions) => {
   const { clock, log, health, refusals, routeOf, abandon, score, notifier } = options;
 
-  const putBack = (task: ItemTask, pauseMs: number): void => {
+  const requeue = (task: ItemTask, delayMs: number): void => {
     task.phase = 'waiting';
-    task.notBefore = clock.now() + pauseMs;
+    task.retryAt = clock.now() + delayMs;
     notifier.notify();
   };
 
-  const pauseOf = (task: ItemTask): number =>
-    Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2 ** Math.min(task.setbacks, 5));
+  const backoffMs = (task: ItemTask): number =>
+    Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** Math.min(task.failedRuns, 5));
 
   return async (task: ItemTask, upstream: string, end: RunEnd): Promise<void> => {
     const { item, state } = task;
@@ -55,21 +55,21 @@
         return;
       case 'failed':
         task.failures += end.status === 500 ? 1 : 0;
-        task.setbacks += 1;
-        task.avoid = upstream;
+        task.failedRuns += 1;
+        task.avoidedUpstream = upstream;
         if (task.failures >= (route?.mostUpstreams ?? 1)) await abandon(task, 'failed too often');
-        else putBack(task, pauseOf(task));
+        else requeue(task, backoffMs(task));
         return;
       case 'not-run':
         if (end.isUnreachable) health.failed(upstream, end.reason);
         else refusals.note(upstream, state.batch.model);
-        task.avoid = upstream;
-        putBack(task, 0);
+        task.avoidedUpstream = upstream;
+        requeue(task, 0);
         return;
       case 'interrupted':
         if (end.isUpstreamFault) health.failed(upstream, end.reason);
-        task.avoid = upstream;
-        putBack(task, 0);
+        task.avoidedUpstream = upstream;
+        requeue(task, 0);
         break;
       default:
         assertNever(end);
@@ -77,4 +77,4 @@
   };
 };
 
-export default newRunSettler;
+export default newRunEndHandler;
--- a/packages/batches/src/newTaskList.ts
+++ b/packages/batches/src/newTaskList.ts
@@ -3,124 +3,125 @@
 import type { Item, ItemHead, ItemResult, TextPlace } from './batchRecord.js';
 import type { BatchState, EarlierText } from './newBatches.js';
 import type { WaitingItem } from './planStarts.js';
-import { isFreshEnough, newProgress } from './progress.js';
+import { meetsMinVersion, newProgress } from './progress.js';
 import type { Progress } from './progress.js';
 
-/** Tokens in one event of a stream, by the platform's usual engines. */
-const TOKENS_AN_EVENT = 63;
-/** An item that is longer than its hint is taken to go on for so long. */
-const LEAST_EXPECTED_TOKENS = 160;
-const UNKNOWN_LENGTH_TOKENS = 1_200;
-/** Texts that are kept when their batch ends before they do; about 10 KB each. */
-const MOST_PARTS = 400;
+/** Tokens in one stream event of the platform's usual engines. */
+const TOKENS_PER_EVENT = 63;
+/** Expected remaining tokens of an item that has reached or exceeded its length hint. */
+const MIN_EXPECTED_TOKENS = 160;
+const DEFAULT_EXPECTED_TOKENS = 1_200;
+/** Number of unfinished texts that are retained after their batch has ended; about 10 KB each. */
+const MAX_RETAINED_TEXTS = 400;
 
-/** An item's result, but for whose it is. */
-export type ItemEnding = Omit<ItemResult, 'type' | 'batch' | 'item'>;
+/** An item's result without the identifiers of its batch and item. */
+export type ItemOutcome = Omit<ItemResult, 'type' | 'batch' | 'item'>;
 
 /** One item of one batch, on the host that runs it. */
 export interface ItemTask {
   key: string;
   state: BatchState;
   item: Item;
-  /** Of its request. */
+  /** Digest of the item's request. */
   digest: string;
   /**
-   * `unscored`: its text is whole, here or from the log, and its score is still to be asked for;
-   * `unwritten`: its result waits until its batch stands in the log.
+   * `unscored`: the text is complete, here or in the log, and has yet to be scored; `unwritten`:
+   * the result waits until its batch is in the log.
    */
   phase: 'unscored' | 'waiting' | 'running' | 'scoring' | 'unwritten' | 'writing';
   progress: Progress;
   createdAt: number;
-  /** Events that stand in the log. */
-  saved: number;
+  /** Number of events that are in the log. */
+  savedEvents: number;
   isSaving: boolean;
-  /** The log says that the text is whole. */
-  isWholeSaved: boolean;
-  /** Where the store has the whole text. */
+  /** Whether the log states that the text is complete. */
+  isCompletionSaved: boolean;
+  /** Location of the complete text in the store. */
   place: TextPlace | null;
-  /** What became of it; null while it is not known. */
-  ending: ItemEnding | null;
-  /** When the text was whole. */
-  textAt: number | null;
-  notBefore: number;
-  /** Answers with status 500. */
+  /** Result of the item; null while it is not known. */
+  outcome: ItemOutcome | null;
+  /** Time at which the text was complete. */
+  textCompletedAt: number | null;
+  retryAt: number;
+  /** Number of responses with status 500. */
   failures: number;
-  /** Runs that brought nothing, in a row. */
-  setbacks: number;
+  /** Number of failed runs, which determines the backoff. */
+  failedRuns: number;
   runs: number;
   movedAt: number;
-  isCarried: boolean;
-  avoid: string | null;
+  isCarriedOver: boolean;
+  avoidedUpstream: string | null;
   upstream: string | null;
-  run: AbortController | null;
-  /** Ends all work on the item. */
+  runController: AbortController | null;
+  /** Aborts all work on the item. */
   controller: AbortController;
 }
 
 export interface TaskListOptions {
   clock: Clock;
   log: EventLog;
-  /** Text of an item as the log has it. */
+  /** Text of an item according to the log. */
   findText: (item: string) => EarlierText | null;
 }
 
-const keyOf = (state: BatchState, item: string): string => `${state.batch.id}/${item}`;
+const taskKey = (state: BatchState, item: string): string => `${state.batch.id}/${item}`;
 
-/** The items that this host has to run, with how far each is. */
+/** Holds the items that this host has to run, with their progress. */
 const newTaskList = ({ clock, log, findText }: TaskListOptions) => {
   const tasks = new Map<string, ItemTask>();
-  /** Texts that were under way when their batch ended; their groups may come again. */
-  const parts = new Map<string, EarlierText>();
-  const seenGroups = new Map<string, string>();
+  /** Unfinished texts of ended batches, whose groups may be sent again. */
+  const retainedTexts = new Map<string, EarlierText>();
+  const firstBatchByGroup = new Map<string, string>();
 
-  const keepPart = ({ item, digest, progress, textAt, place }: ItemTask): void => {
+  const retainText = ({ item, digest, progress, textCompletedAt, place }: ItemTask): void => {
     if (progress.events.length === 0) return;
-    parts.delete(item.id);
-    parts.set(item.id, { digest, progress, isWhole: textAt !== null, place });
-    const [oldest] = parts.keys();
-    if (parts.size > MOST_PARTS && oldest !== undefined) parts.delete(oldest);
+    retainedTexts.delete(item.id);
+    retainedTexts.set(item.id, { digest, progress, isComplete: textCompletedAt !== null, place });
+    const [oldest] = retainedTexts.keys();
+    if (retainedTexts.size > MAX_RETAINED_TEXTS && oldest !== undefined)
+      retainedTexts.delete(oldest);
   };
 
-  /** Text of the same request that is there already, where it is new enough. */
-  const findUsable = ({ id, digest }: ItemHead, leastVersion: number): EarlierText | null => {
-    const here = parts.get(id);
+  /** Existing text for the same request, if its versions are new enough. */
+  const findReusable = ({ id, digest }: ItemHead, minVersion: number): EarlierText | null => {
+    const retained = retainedTexts.get(id);
     const logged = findText(id);
-    const isHereLonger =
-      here !== undefined &&
-      !logged?.isWhole &&
-      here.progress.events.length >= (logged?.progress.events.length ?? 0);
-    const found = isHereLonger ? here : logged;
+    const isRetainedLonger =
+      retained !== undefined &&
+      !logged?.isComplete &&
+      retained.progress.events.length >= (logged?.progress.events.length ?? 0);
+    const found = isRetainedLonger ? retained : logged;
     if (found?.digest !== digest) return null;
-    return isFreshEnough(found.progress, leastVersion) ? found : null;
+    return meetsMinVersion(found.progress, minVersion) ? found : null;
   };
 
   const add = (state: BatchState, item: Item, head: ItemHead): ItemTask => {
-    const text = findUsable(head, state.batch.leastVersion);
-    const firstBatch = seenGroups.get(item.group) ?? state.batch.id;
-    seenGroups.set(item.group, firstBatch);
+    const text = findReusable(head, state.batch.leastVersion);
+    const firstBatch = firstBatchByGroup.get(item.group) ?? state.batch.id;
+    firstBatchByGroup.set(item.group, firstBatch);
     const task: ItemTask = {
-      key: keyOf(state, item.id),
+      key: taskKey(state, item.id),
       state,
       item,
       digest: head.digest,
-      phase: text?.isWhole ? 'unscored' : 'waiting',
+      phase: text?.isComplete ? 'unscored' : 'waiting',
       progress: text?.progress ?? newProgress(),
       createdAt: clock.now(),
-      saved: 0,
+      savedEvents: 0,
       isSaving: false,
-      isWholeSaved: false,
+      isCompletionSaved: false,
       place: text?.place ?? null,
-      ending: null,
-      textAt: null,
-      notBefore: -Infinity,
+      outcome: null,
+      textCompletedAt: null,
+      retryAt: -Infinity,
       failures: 0,
-      setbacks: 0,
+      failedRuns: 0,
       runs: 0,
       movedAt: -Infinity,
-      isCarried: firstBatch !== state.batch.id,
-      avoid: null,
+      isCarriedOver: firstBatch !== state.batch.id,
+      avoidedUpstream: null,
       upstream: null,
-      run: null,
+      runController: null,
       controller: new AbortController(),
     };
     tasks.set(task.key, task);
@@ -128,13 +129,13 @@
   };
 
   const expectedTokens = ({ item, progress }: ItemTask): number => {
-    const whole = item.expectedTokens ?? UNKNOWN_LENGTH_TOKENS;
-    return Math.max(LEAST_EXPECTED_TOKENS, whole - progress.events.length * TOKENS_AN_EVENT);
+    const total = item.expectedTokens ?? DEFAULT_EXPECTED_TOKENS;
+    return Math.max(MIN_EXPECTED_TOKENS, total - progress.events.length * TOKENS_PER_EVENT);
   };
 
-  const end = (task: ItemTask): void => {
+  const endTask = (task: ItemTask): void => {
     const { state, item, phase, progress } = task;
-    // An item with a result ends here as well; its result has a line of its own.
+    // An item with a result is removed as well; its result is logged when it is written.
     if (!state.finished.has(item.id)) {
       log.info('item.dropped', {
         requestId: item.id,
@@ -146,22 +147,23 @@
     }
     task.controller.abort('no longer wanted here');
     tasks.delete(task.key);
-    keepPart(task);
+    retainText(task);
   };
 
   return {
     /**
-     * Brings the tasks in line with the batches that are this host's now and whose items are here.
-     * @returns tasks that are new
+     * Reconciles the tasks with the batches that are assigned to this host and whose requests are
+     * loaded.
+     * @returns the new tasks
      */
-    reconcile: (mine: BatchState[]): ItemTask[] => {
-      const wanted = new Set(mine);
+    reconcile: (assigned: BatchState[]): ItemTask[] => {
+      const wanted = new Set(assigned);
       [...tasks.values()]
         .filter(({ state, item }) => !wanted.has(state) || state.finished.has(item.id))
-        .forEach(end);
-      return mine.flatMap((state) =>
+        .forEach(endTask);
+      return assigned.flatMap((state) =>
         [...state.items.values()]
-          .filter(({ id }) => !state.finished.has(id) && !tasks.has(keyOf(state, id)))
+          .filter(({ id }) => !state.finished.has(id) && !tasks.has(taskKey(state, id)))
           .flatMap((head) => {
             const item = state.requests?.get(head.id);
             return item ? [add(state, item, head)] : [];
@@ -173,7 +175,7 @@
     count: (): number => tasks.size,
     waiting: (): ItemTask[] =>
       [...tasks.values()].filter(
-        ({ phase, notBefore }) => phase === 'waiting' && clock.now() >= notBefore,
+        ({ phase, retryAt }) => phase === 'waiting' && clock.now() >= retryAt,
       ),
     running: (): ItemTask[] => [...tasks.values()].filter(({ phase }) => phase === 'running'),
     expectedTokens,
@@ -182,12 +184,12 @@
       return {
         key: task.key,
         model: batch.model,
-        leastVersion: batch.leastVersion,
-        onlyVersion: isSingleVersion ? (task.progress.versions[0] ?? null) : null,
+        minVersion: batch.leastVersion,
+        requiredVersion: isSingleVersion ? (task.progress.versions[0] ?? null) : null,
         expectedTokens: expectedTokens(task),
-        isCarried: task.isCarried,
+        isCarriedOver: task.isCarriedOver,
         acceptedAt: batch.acceptedAt,
-        avoid: task.avoid,
+        avoidedUpstream: task.avoidedUpstream,
       };
     },
   };
--- a/packages/batches/src/newTextCache.ts
+++ b/packages/batches/src/newTextCache.ts
@@ -1,14 +1,14 @@
-import { keyOf } from './textRecords.js';
+import { recordKey } from './textRecords.js';
 
-/** A step's texts are some 200 KB, and its trainer asks for them within seconds. */
-const MOST_BYTES = 4_000_000;
+/** The texts of a step are about 200 KB, and its trainer requests them within seconds. */
+const MAX_BYTES = 4_000_000;
 
-/** Records of texts that were written or read here lately, up to a number of bytes. */
-const newTextCache = (mostBytes: number = MOST_BYTES) => {
+/** Caches text records that this host has recently written or read, up to a number of bytes. */
+const newTextCache = (maxBytes: number = MAX_BYTES) => {
   const records = new Map<string, Buffer>();
   let bytes = 0;
 
-  const dropOldest = (): void => {
+  const evictOldest = (): void => {
     const [oldest] = records.keys();
     if (oldest === undefined) return;
     bytes -= records.get(oldest)?.length ?? 0;
@@ -17,15 +17,15 @@
 
   return {
     put: (topic: string, offset: number, body: Buffer): void => {
-      const key = keyOf({ topic, offset });
+      const key = recordKey({ topic, offset });
       if (records.has(key)) return;
-      // A copy: the record is a slice of a page, which would stay in memory as a whole.
+      // Copied, since the record is a slice of a page that would stay in memory as a whole.
       records.set(key, Buffer.from(body));
       bytes += body.length;
-      while (bytes > mostBytes) dropOldest();
+      while (bytes > maxBytes) evictOldest();
     },
     get: (topic: string, offset: number): Buffer | undefined =>
-      records.get(keyOf({ topic, offset })),
+      records.get(recordKey({ topic, offset })),
   };
 };
 
--- a/packages/batches/src/newTexts.ts
+++ b/packages/batches/src/newTexts.ts
@@ -7,38 +7,38 @@
 import type { TextPlace } from './batchRecord.js';
 import newTextCache from './newTextCache.js';
 import newTextReader from './newTextReader.js';
-import { piecesOf } from './textRecords.js';
+import { splitText } from './textRecords.js';
 
 /**
- * Texts of one batch lie together; those of batches that run at the same time mostly apart, so that
- * a page is nearly all of one batch. The store allows a hundred topics.
+ * Texts of one batch share a topic; those of concurrent batches are mostly in different topics, so
+ * that nearly all of a page belongs to one batch. The store allows a hundred topics.
  */
-const TOPICS = 32;
+const TOPIC_COUNT = 32;
 
 export interface TextsOptions {
   clock: Clock;
   log: EventLog;
   store: Store;
-  /** Unique to this run of the process. */
+  /** Producer id, unique to this incarnation of the process. */
   producer: string;
 }
 
-const topicOf = (batch: string): string =>
-  `texts-${Number.parseInt(digest(batch).slice(0, 4), 16) % TOPICS}`;
+const topicForBatch = (batch: string): string =>
+  `texts-${Number.parseInt(digest(batch).slice(0, 4), 16) % TOPIC_COUNT}`;
 
 /**
- * Whole texts of items, kept in the store apart from the records that all hosts follow.
+ * Stores complete texts of items separately from the records that all hosts follow.
  *
- * Texts are nine tenths of all bytes. Were they in the followed log, each host would read them all,
- * and after a restart of all hosts nothing could begin before that: ten hosts took 3.4 s for 26 MB
- * each, bound by the store's 80 MB/s. So a result names where its text stands, and the host that is
- * asked for it reads it then.
+ * Texts are nine tenths of all bytes. In the followed log, each host would read them all, and after
+ * a restart of all hosts no work could start before that: ten hosts took 3.4 s for 26 MB each,
+ * limited by the store's 80 MB/s. So a result contains the location of its text, and the host that
+ * is asked for the text reads it on demand.
  */
 const newTexts = ({ clock, log, store, producer }: TextsOptions) => {
   const writers = new Map<string, StoreWriter>();
   const cache = newTextCache();
 
-  const writerOf = (topic: string): StoreWriter => {
+  const getWriter = (topic: string): StoreWriter => {
     const known = writers.get(topic);
     if (known) return known;
     const created = newStoreWriter({ clock, log, store, topic, producer });
@@ -46,15 +46,15 @@
     return created;
   };
 
-  /** @returns where the text stands; null when that is not known by the deadline */
+  /** @returns the location of the text; null if it is not known by the deadline */
   const write = async (
     batch: string,
     text: string,
     deadline: number,
   ): Promise<TextPlace | null> => {
-    const topic = topicOf(batch);
-    const pieces = piecesOf(text);
-    const { offset } = await writerOf(topic).place(pieces, deadline);
+    const topic = topicForBatch(batch);
+    const pieces = splitText(text);
+    const { offset } = await getWriter(topic).place(pieces, deadline);
     if (offset === null) return null;
     pieces.forEach((piece, index) => cache.put(topic, offset + index, piece));
     const bytes = pieces.reduce((sum, piece) => sum + piece.length, 0);
--- a/packages/batches/src/planMoves.ts
+++ b/packages/batches/src/planMoves.ts
@@ -3,16 +3,16 @@
 import findMoves from './findMoves.js';
 import type { RunningItem } from './findMoves.js';
 
-/** A running item, and the service whose engines may run it. */
+/** A running item and the service whose engines may run it. */
 export interface ServedItem extends RunningItem {
   service: string;
 }
 
 /**
- * Items that should go on at another engine, of all services.
+ * Selects items of all services that should resume on another engine.
  *
- * Each item is compared with the engines of its own service only: an engine of another one is not
- * among them, and would look as if it were leaving.
+ * Each item is compared only with the engines of its own service: an engine of another service is
+ * not among them, and would appear to be draining.
  */
 const planMoves = (
   running: ServedItem[],
@@ -21,9 +21,9 @@
 ): RunningItem[] =>
   [...groupBy(running, ({ service }) => service)].flatMap(([service, items]) => {
     const known = candidatesOf(service);
-    const isLeaving = (id: string): boolean =>
+    const isDraining = (id: string): boolean =>
       isListed(id) && !known.some(({ entry }) => entry.id === id);
-    return findMoves(items, known, isLeaving);
+    return findMoves(items, known, isDraining);
   });
 
 export default planMoves;
--- a/packages/batches/src/planStarts.ts
+++ b/packages/batches/src/planStarts.ts
@@ -6,37 +6,42 @@
 export interface WaitingItem {
   key: string;
   model: string | null;
-  leastVersion: number;
-  /** Only this version may go on; null where any may. */
-  onlyVersion: number | null;
-  /** Tokens that are expected to be generated still. */
+  minVersion: number;
+  /** The only version that may continue the text; null if any may. */
+  requiredVersion: number | null;
+  /** Expected number of tokens that are still to be generated. */
   expectedTokens: number;
-  /** Its group was carried over from an earlier batch, and its trainer waits for it first. */
-  isCarried: boolean;
-  /** When its batch was accepted; older batches are due sooner. */
+  /**
+   * Whether the group was carried over from an earlier batch; the trainer waits for such groups
+   * first.
+   */
+  isCarriedOver: boolean;
+  /** Time at which the batch was accepted; older batches are due sooner. */
   acceptedAt: number;
-  /** Upstream on which it ran last and should not run next. */
-  avoid: string | null;
+  /** Upstream that ran the item last and should not run it next. */
+  avoidedUpstream: string | null;
 }
 
-export interface Start {
+export interface PlannedStart {
   key: string;
   candidate: Candidate;
 }
 
 /**
- * The order in which items should start.
+ * Orders waiting items by start priority.
  *
- * A step is whole when its slowest item is, and the longest items take most of the time that a step
- * has. So older batches go first, then carried-over groups, which the trainer waits for in any case,
- * then the longest items: started last, they would end long after all others.
+ * A step is complete when its slowest item is, and the longest items take most of the time that a
+ * step has. So older batches start first, then carried-over groups, which the trainer needs in any
+ * case, then the longest items, which would end long after all others if they started last.
  */
 export const compareWaiting = (left: WaitingItem, right: WaitingItem): number =>
   left.acceptedAt - right.acceptedAt ||
-  Number(right.isCarried) - Number(left.isCarried) ||
+  Number(right.isCarriedOver) - Number(left.isCarriedOver) ||
   right.expectedTokens - left.expectedTokens;
 
-/** Whether an engine has just refused requests for a model, as it does while it loads. */
+/**
+ * Whether an engine has recently refused requests for a model, as it does while it loads the model.
+ */
 export type RefusalCheck = (upstream: string, model: string | null) => boolean;
 
 const isEligible = (
@@ -45,30 +50,32 @@
   isRefusing: RefusalCheck,
 ): boolean => {
   const version = item.model === null ? null : versionOf(entry, item.model);
-  const isVersionGood =
+  const isVersionAllowed =
     version === null ||
-    (version >= item.leastVersion && (item.onlyVersion === null || version === item.onlyVersion));
-  return isVersionGood && load < entry.slots && !isResting && !isRefusing(entry.id, item.model);
+    (version >= item.minVersion &&
+      (item.requiredVersion === null || version === item.requiredVersion));
+  return isVersionAllowed && load < entry.slots && !isResting && !isRefusing(entry.id, item.model);
 };
 
 /**
- * Which waiting items start now, and where. Items start only on free slots: one that waits here can
- * still go to whichever engine is free first, one that waits in an engine's queue can't.
+ * Selects the waiting items that start now, and their engines. Items start only on free slots: an
+ * item that waits here can still go to whichever engine is free first, while one in an engine's
+ * queue cannot.
  */
 const planStarts = (
   waiting: WaitingItem[],
   candidates: Candidate[],
   isRefusing: RefusalCheck,
   random?: () => number,
-): Start[] => {
+): PlannedStart[] => {
   const current = candidates
     .filter(({ entry, load, isResting }) => load < entry.slots && !isResting)
     .map((candidate) => ({ ...candidate }));
-  // Mostly all slots are taken, and all items would be sorted for nothing.
+  // Mostly all slots are taken, and sorting the items would be wasted work.
   if (current.length === 0) return [];
   return [...waiting].sort(compareWaiting).flatMap((item) => {
     const eligible = current.filter((candidate) => isEligible(item, candidate, isRefusing));
-    const others = eligible.filter(({ entry }) => entry.id !== item.avoid);
+    const others = eligible.filter(({ entry }) => entry.id !== item.avoidedUpstream);
     const chosen = chooseUpstream(others.length > 0 ? others : eligible, random);
     if (!chosen) return [];
     chosen.load += 1;
--- a/packages/batches/src/planTextRead.ts
+++ b/packages/batches/src/planTextRead.ts
@@ -1,53 +1,62 @@
 import type { RecordPlace } from './textRecords.js';
 
-/** Texts are written nearly in the order of their results: how far apart two are that changed places. */
-const BEFORE_RECORDS = 16;
-/** Records that one page may reach. */
-const AFTER_RECORDS = 256;
-/** Records of other batches lie between several that are wanted; one read should bring all. */
-const READ_FACTOR = 2;
-/** What a page has beside its records' bytes. */
+/**
+ * Number of records by which a read may start before the first missing one: texts are written
+ * nearly in the order of their results.
+ */
+const MAX_RECORDS_BEFORE = 16;
+/** Number of records from the first missing one on that one page may cover. */
+const MAX_RECORDS_AFTER = 256;
+/** Records of other batches lie between wanted ones; one read should return all that are wanted. */
+const READ_SIZE_FACTOR = 2;
+/** Size of a page without its records. */
 const PAGE_OVERHEAD_BYTES = 1_024;
-const LEAST_READ_KB = 16;
-const BYTES_IN_KB = 1_024;
+const MIN_READ_KB = 16;
+const BYTES_PER_KB = 1_024;
 
 /** One call to the store for records of a topic. */
 export interface TextRead {
   topic: string;
   from: number;
-  mostKb: number;
+  maxKb: number;
 }
 
 export interface TextReadBounds {
-  /** Unless a single record is larger. */
-  mostKb: number;
-  /** Whether to begin at wanted records that stand a little before the first missing one. */
-  mayBeginBefore: boolean;
+  /** Maximum size of a page, unless a single record is larger. */
+  maxKb: number;
+  /** Whether a read may start at wanted records that are shortly before the first missing one. */
+  mayStartEarlier: boolean;
 }
 
-const kbOf = (bytes: number): number => Math.ceil((bytes + PAGE_OVERHEAD_BYTES) / BYTES_IN_KB);
+const pageKb = (bytes: number): number => Math.ceil((bytes + PAGE_OVERHEAD_BYTES) / BYTES_PER_KB);
 
 /**
- * Where to read next. A read that begins before the first missing record brings its neighbours too,
- * but may end before it; and nothing behind the first one can be given without it.
+ * Plans the next read. A read that starts before the first missing record also returns the
+ * neighbours of that record but may end before it, and no text after the first missing one can be
+ * returned without that one.
  */
 const planTextRead = (
   missing: RecordPlace[],
   first: RecordPlace,
-  { mostKb, mayBeginBefore }: TextReadBounds,
+  { maxKb, mayStartEarlier }: TextReadBounds,
 ): TextRead => {
-  const least = first.offset - (mayBeginBefore ? BEFORE_RECORDS : 0);
-  const near = missing.filter(
+  const minOffset = first.offset - (mayStartEarlier ? MAX_RECORDS_BEFORE : 0);
+  const nearby = missing.filter(
     ({ topic, offset }) =>
-      topic === first.topic && offset >= least && offset < first.offset + AFTER_RECORDS,
+      topic === first.topic && offset >= minOffset && offset < first.offset + MAX_RECORDS_AFTER,
+  );
+  const start = nearby.reduce((lowest, record) =>
+    record.offset < lowest.offset ? record : lowest,
+  );
+  const bytes = nearby.reduce((sum, record) => sum + record.bytes, 0);
+  const wantedKb = Math.max(
+    MIN_READ_KB,
+    pageKb(nearby.length > 1 ? bytes * READ_SIZE_FACTOR : bytes),
   );
-  const start = near.reduce((lowest, record) => (record.offset < lowest.offset ? record : lowest));
-  const bytes = near.reduce((sum, record) => sum + record.bytes, 0);
-  const wantedKb = Math.max(LEAST_READ_KB, kbOf(near.length > 1 ? bytes * READ_FACTOR : bytes));
   return {
     topic: first.topic,
     from: start.offset,
-    mostKb: Math.max(kbOf(start.bytes), Math.min(wantedKb, mostKb)),
+    maxKb: Math.max(pageKb(start.bytes), Math.min(wantedKb, maxKb)),
   };
 };
 
--- a/packages/batches/src/progress.ts
+++ b/packages/batches/src/progress.ts
@@ -1,6 +1,6 @@
-/** What there is of an item's text so far. */
+/** An item's text so far. */
 export interface Progress {
-  /** The data of each event, in order. */
+  /** Data of each event, in order. */
   events: string[];
   /** Id of the last event; null before the first. */
   lastEventId: string | null;
@@ -10,6 +10,8 @@
 
 export const newProgress = (): Progress => ({ events: [], lastEventId: null, versions: [] });
 
-/** Whether text may go into a batch: none of it older than allowed. */
-export const isFreshEnough = ({ versions }: Pick<Progress, 'versions'>, least: number): boolean =>
-  versions.every((version) => version >= least);
+/** Whether a text contains no event of a version that is too old for a batch. */
+export const meetsMinVersion = (
+  { versions }: Pick<Progress, 'versions'>,
+  minVersion: number,
+): boolean => versions.every((version) => version >= minVersion);
--- a/packages/batches/src/recordPieces.ts
+++ b/packages/batches/src/recordPieces.ts
@@ -1,50 +1,52 @@
 import { z } from 'zod';
 
-/** A record's most bytes in the store are 262,144; the piece's own frame has to fit as well. */
-const MOST_PIECE_BYTES = 190_000;
+/** The store limits records to 262,144 bytes, which have to hold the frame of a piece as well. */
+const MAX_PIECE_BYTES = 190_000;
 
 const pieceSchema = z.object({
   type: z.literal('piece'),
   id: z.string(),
   index: z.int(),
   count: z.int(),
-  /** In base64. */
+  /** Base64-encoded. */
   data: z.string(),
 });
 
-/** A record as the store takes it: one, or several that are appended together. */
+/** Encodes a record for the store: as one record, or as several that are appended together. */
 export const encodeRecord = (record: { type: string }, id: string): Buffer[] => {
-  const whole = Buffer.from(JSON.stringify(record));
-  if (whole.length <= MOST_PIECE_BYTES) return [whole];
-  const pieceBytes = Math.floor((MOST_PIECE_BYTES * 3) / 4);
-  const count = Math.ceil(whole.length / pieceBytes);
+  const encoded = Buffer.from(JSON.stringify(record));
+  if (encoded.length <= MAX_PIECE_BYTES) return [encoded];
+  const pieceBytes = Math.floor((MAX_PIECE_BYTES * 3) / 4);
+  const count = Math.ceil(encoded.length / pieceBytes);
   return Array.from({ length: count }, (_, index) => {
-    const data = whole.subarray(index * pieceBytes, (index + 1) * pieceBytes).toString('base64');
+    const data = encoded.subarray(index * pieceBytes, (index + 1) * pieceBytes).toString('base64');
     return Buffer.from(JSON.stringify({ type: 'piece', id, index, count, data }));
   });
 };
 
 const isPiece = (raw: unknown): boolean => (raw as { type?: unknown } | null)?.type === 'piece';
 
-/** Puts records that came in pieces together again. Pieces of one append follow one another. */
+/** Reassembles records that were split into pieces. The pieces of one append are consecutive. */
 export const newRecordAssembler = () => {
-  const gathered = new Map<string, Buffer[]>();
+  const incomplete = new Map<string, Buffer[]>();
 
   return (raw: unknown): unknown => {
-    // Most records are none, and a schema that refuses them builds its list of problems each time.
+    // Most records are not pieces, and a schema that rejects them builds a list of problems each
+    // time.
     if (!isPiece(raw)) return raw;
     const piece = pieceSchema.safeParse(raw);
     if (!piece.success) return raw;
     const { id, index, count, data } = piece.data;
-    const pieces = index === 0 ? [] : (gathered.get(id) ?? []);
+    const pieces = index === 0 ? [] : (incomplete.get(id) ?? []);
     pieces.push(Buffer.from(data, 'base64'));
-    gathered.set(id, pieces);
+    incomplete.set(id, pieces);
     if (pieces.length < count || index < count - 1) return null;
-    gathered.delete(id);
+    incomplete.delete(id);
     try {
       return JSON.parse(Buffer.concat(pieces).toString()) as unknown;
     } catch {
-      // Its first pieces were read before history went: the record can't be had any more.
+      // The first pieces were read before the log was trimmed, so the record is incomplete for
+      // good.
       return null;
     }
   };
--- a/packages/batches/src/runOnce.ts
+++ b/packages/batches/src/runOnce.ts
@@ -7,20 +7,26 @@
 import type { EventReader } from './EventReader.js';
 import type { Progress } from './progress.js';
 
-/** An engine that has not begun by then is silent: prompts are read within tens of milliseconds. */
-const FIRST_EVENT_MS = 2_500;
-/** Longest pause within a stream. A sound engine makes an event every 35 ms, a slow one 150 ms. */
-const PAUSE_MS = 1_200;
+/**
+ * An engine without an event within this time is unresponsive: prompts are read within tens of
+ * milliseconds.
+ */
+const FIRST_EVENT_TIMEOUT_MS = 2_500;
+/**
+ * Maximum gap within a stream. A healthy engine generates an event every 35 ms, a slow one every
+ * 150 ms.
+ */
+const EVENT_TIMEOUT_MS = 1_200;
 
-/** How one run of an item on one engine ended. */
+/** Outcome of one run of an item on one engine. */
 export type RunEnd =
   | { type: 'whole' }
-  /** Broken off or ended by us; what there is of the text stays good. */
+  /** Interrupted by a failure or by this host; the text so far remains valid. */
   | { type: 'interrupted'; reason: string; isUpstreamFault: boolean }
   | { type: 'not-run'; reason: string; isUnreachable: boolean }
-  /** The engine ran it and failed. */
+  /** The engine ran the item and failed. */
   | { type: 'failed'; status: number }
-  /** The engine says that it can never be done. */
+  /** The engine reports that the item can never succeed. */
   | { type: 'impossible' };
 
 export interface RunOnceOptions {
@@ -29,11 +35,11 @@
   newEventReader: () => EventReader;
   entry: UpstreamEntry;
   request: UpstreamRequest;
-  /** Filled on as events arrive. */
+  /** Extended as events arrive. */
   progress: Progress;
   /** Whether text of this version may be used. */
   isVersionAllowed: (version: number) => boolean;
-  /** @param gapMs time since the event before it */
+  /** @param gapMs time since the previous event */
   onEvent: (gapMs: number) => void;
   onLoad: (load: ReportedLoad) => void;
   signal: AbortSignal;
@@ -45,10 +51,10 @@
   isUpstreamFault,
 });
 
-/** Ends a wait for the next piece of a stream when it takes too long or the run is over. */
-const newPauseGuard = (clock: Clock, signal: AbortSignal) => {
+/** Aborts the wait for the next chunk of a stream when it takes too long or the run has ended. */
+const newIdleTimeout = (clock: Clock, signal: AbortSignal) => {
   const controller = new AbortController();
-  let deadline = clock.now() + FIRST_EVENT_MS;
+  let deadline = clock.now() + FIRST_EVENT_TIMEOUT_MS;
   const watch = async (): Promise<void> => {
     while (!controller.signal.aborted) {
       if (signal.aborted || clock.now() >= deadline) {
@@ -61,27 +67,28 @@
   watch();
   return {
     signal: controller.signal,
-    alive: (): void => {
-      deadline = clock.now() + PAUSE_MS;
+    reset: (): void => {
+      deadline = clock.now() + EVENT_TIMEOUT_MS;
     },
     end: (): void => controller.abort('over'),
   };
 };
 
-/** Runs an item once, from where its progress stands, and adds the events to the progress. */
+/** Runs an item once, resuming after its progress, and appends the events to the progress. */
 const runOnce = async (options: RunOnceOptions): Promise<RunEnd> => {
   const { clock, client, newEventReader, entry, request, progress } = options;
   const { isVersionAllowed, onEvent, onLoad, signal } = options;
-  const guard = newPauseGuard(clock, signal);
-  const runSignal = AbortSignal.any([signal, guard.signal]);
+  const idleTimeout = newIdleTimeout(clock, signal);
+  const runSignal = AbortSignal.any([signal, idleTimeout.signal]);
 
   const readEvents = async (answer: UpstreamAnswer): Promise<RunEnd> => {
     const reader = newEventReader();
     let { version } = answer;
-    // The first events come after the wait for a slot and the reading of the prompt.
+    // The first gap is not reported, since it includes the wait for a slot and the reading of the
+    // prompt.
     let lastAt: number | null = null;
     for await (const chunk of answer.body) {
-      guard.alive();
+      idleTimeout.reset();
       const events = reader(chunk);
       if (lastAt !== null) {
         const gapMs = (clock.now() - lastAt) / events.length;
@@ -104,18 +111,18 @@
     return progress.events.length > 0 ? { type: 'whole' } : interrupted('no events');
   };
 
-  const reasonOf = (): string => {
+  const endReason = (): string => {
     if (signal.aborted) return String(signal.reason);
-    return guard.signal.aborted ? 'silent' : 'broken off';
+    return idleTimeout.signal.aborted ? 'silent' : 'broken off';
   };
 
   const stream = async (): Promise<RunEnd> => {
-    const firstByteBy = clock.now() + FIRST_EVENT_MS;
+    const firstByteBy = clock.now() + FIRST_EVENT_TIMEOUT_MS;
     const outcome = await client.send(entry, request, firstByteBy, runSignal);
     if (outcome.type === 'fault') {
       const { fault } = outcome;
       if (fault.type === 'unknown') {
-        return interrupted(signal.aborted ? reasonOf() : fault.reason, !signal.aborted);
+        return interrupted(signal.aborted ? endReason() : fault.reason, !signal.aborted);
       }
       if (fault.load) onLoad(fault.load);
       return { type: 'not-run', reason: fault.reason, isUnreachable: fault.isUnreachable };
@@ -129,12 +136,12 @@
 
   try {
     const end = await stream();
-    return end.type === 'whole' && runSignal.aborted ? interrupted(reasonOf()) : end;
+    return end.type === 'whole' && runSignal.aborted ? interrupted(endReason()) : end;
   } catch (error) {
     if (!(error instanceof BrokenAnswer)) throw error;
-    return interrupted(reasonOf(), !signal.aborted);
+    return interrupted(endReason(), !signal.aborted);
   } finally {
-    guard.end();
+    idleTimeout.end();
   }
 };
 
--- a/packages/batches/tests/helpers.ts
+++ b/packages/batches/tests/helpers.ts
@@ -59,7 +59,7 @@
   ...changes,
 });
 
-/** Events as a line of JSON each: `[id, data, version]`. */
+/** Reads events that are one line of JSON each: `[id, data, version]`. */
 export const newLineReader = (): EventReader => {
   let rest = '';
   return (chunk) => {
--- a/packages/batches/tests/latePeers.test.ts
+++ b/packages/batches/tests/latePeers.test.ts
@@ -2,17 +2,18 @@
 import { createServer } from 'node:net';
 import type { AddressInfo, Socket } from 'node:net';
 import test from 'ava';
-import newBlackHole from './newBlackHole.js';
+import newUnreachableAddress from './newUnreachableAddress.js';
 import { handover, newCaller, newPeer } from './peerHelpers.js';
 
-/** Longer than a host that is not busy ever needs. */
-const LATE_MS = 1_000;
-/** With three hosts in turn cut off, a step of some seconds is still in time. */
-const CUT_NOTICED_MS = 700;
+/** Longer than a host that is not busy needs to answer. */
+const LATE_ANSWER_MS = 1_000;
+/** With three unreachable hosts in succession, a step of some seconds is still in time. */
+const MAX_PASS_OVER_MS = 700;
 
-test('a host that needs a second to answer is not taken for one that has not begun', async (t) => {
-  // Guards against a batch that two hosts run: the first in turn is busy, and the next one begins.
-  const late = await newPeer('c', true, LATE_MS);
+test('a host that takes a second to answer is not assumed not to have begun a batch', async (t) => {
+  // Guards against two hosts running a batch: the first host is busy, and the next one begins the
+  // batch too.
+  const late = await newPeer('c', true, LATE_ANSWER_MS);
   const quick = await newPeer('b', true);
   await newCaller([late.peer, quick.peer]).begin(handover.batch);
   t.deepEqual([...late.begun], ['b']);
@@ -20,9 +21,10 @@
   [late, quick].forEach(({ server }) => server.close());
 });
 
-test('a host that was late once is asked again whether it has begun', async (t) => {
-  // Guards against a batch that two hosts run: the one that runs it was late in another matter.
-  const late = await newPeer('c', true, LATE_MS);
+test('a host that was late once is asked again whether it has begun a batch', async (t) => {
+  // Guards against two hosts running a batch: the host that runs it was late in answering another
+  // call.
+  const late = await newPeer('c', true, LATE_ANSWER_MS);
   const quick = await newPeer('b', true);
   const first = newCaller([late.peer]);
   const second = newCaller([late.peer, quick.peer]);
@@ -33,17 +35,17 @@
   [late, quick].forEach(({ server }) => server.close());
 });
 
-test('a batch that a late host takes is not handed to the next one as well', async (t) => {
-  // Guards against a batch that two hosts take over from one that leaves: each of them runs it.
-  const late = await newPeer('c', true, LATE_MS);
+test('a batch that a late host takes over is not handed to the next host as well', async (t) => {
+  // Guards against two hosts running a batch that both took over from a host that is leaving.
+  const late = await newPeer('c', true, LATE_ANSWER_MS);
   const quick = await newPeer('b', true);
   t.is(await newCaller([late.peer, quick.peer]).handOver(handover), 'c');
   t.deepEqual(quick.taken, []);
   [late, quick].forEach(({ server }) => server.close());
 });
 
-test('a host that never answers is passed over in the end', async (t) => {
-  // Guards against a step that nobody runs: the first host in turn is suspended for long.
+test('a host that never answers is passed over after a timeout', async (t) => {
+  // Guards against a step that no host runs, since the first host is suspended for a long time.
   const suspended = createServer(() => {});
   suspended.listen(0, '127.0.0.1');
   await once(suspended, 'listening');
@@ -56,8 +58,9 @@
   suspended.close();
 });
 
-test('a call whose connection went silent is made again on a new one', async (t) => {
-  // Guards against a batch that waits in vain: the connection hangs, the host at its end is well.
+test('a call on a dead connection is made again on a new one', async (t) => {
+  // Guards against a batch that is delayed: the connection hangs although the host at its other
+  // end is healthy.
   const peer = await newPeer('c', true);
   const [answer] = peer.server.listeners('request') as ((...args: unknown[]) => void)[];
   peer.server.removeAllListeners('request');
@@ -71,7 +74,7 @@
   peer.server.close();
 });
 
-test('a host that answers in time is not looked for besides', async (t) => {
+test('a host that answers in time is not probed', async (t) => {
   // Guards against a second connection for every call between hosts.
   const peer = await newPeer('c', true);
   const unused = new Set<Socket>();
@@ -86,12 +89,12 @@
   peer.server.close();
 });
 
-test('a host beyond a cut is passed over within a fraction of a second', async (t) => {
-  // Guards against a step that loses a second for each host in turn that is cut off.
-  const cut = await newBlackHole();
-  t.teardown(cut.close);
+test('a host behind a network partition is passed over within a fraction of a second', async (t) => {
+  // Guards against a step that loses a second for each unreachable host.
+  const unreachable = await newUnreachableAddress();
+  t.teardown(unreachable.close);
   const quick = await newPeer('b', true);
-  const peer = { host: 'c', failureDomain: 'detroit', address: cut.address, cores: 1 };
+  const peer = { host: 'c', failureDomain: 'detroit', address: unreachable.address, cores: 1 };
   const times: number[] = [];
   for (let round = 0; round < 3; round += 1) {
     const startedAt = performance.now();
@@ -99,7 +102,7 @@
     times.push(performance.now() - startedAt);
   }
   t.deepEqual([...quick.begun], ['b']);
-  // A busy machine may hold up a round, not all of them.
-  t.true(Math.min(...times) < CUT_NOTICED_MS, String(times));
+  // A busy machine may delay one round, but not all of them.
+  t.true(Math.min(...times) < MAX_PASS_OVER_MS, String(times));
   quick.server.close();
 });
--- a/packages/batches/tests/newAssignment.test.ts
+++ b/packages/batches/tests/newAssignment.test.ts
@@ -8,102 +8,102 @@
 
 const newHost = (incarnation: string, isOwner: boolean) => {
   const clock = newManualClock();
-  const live = new Set(['owner', 'beginner']);
+  const live = new Set(['owner', 'executor']);
   const batches = newBatches({ clock, lifeMs: 120_000, parts: newPartTexts(clock) });
   const takeovers = newTakeovers({ clock, isOwner: () => isOwner, readParts: async () => {} });
   const isLive = (run: string): boolean => live.has(run);
   const left = new Set<string>();
   const hasLeft = (host: string): boolean => left.has(host);
   const isLeaving = (): boolean => false;
-  const view = { isStanding: false, freshAt: clock.now() };
+  const view = { isStale: false, freshAt: clock.now() };
   const freshAt = (): number => {
-    if (!view.isStanding) view.freshAt = clock.now();
+    if (!view.isStale) view.freshAt = clock.now();
     return view.freshAt;
   };
   const options = { clock, incarnation, isLeaving, freshAt, isLive, hasLeft, takeovers };
-  const isMine = newAssignment(options);
+  const isAssigned = newAssignment(options);
   takeovers.mayBegin('x');
-  return { clock, live, left, view, batches, isMine: () => batches.open().map(isMine) };
+  return { clock, live, left, view, batches, isAssigned: () => batches.open().map(isAssigned) };
 };
 
 const batch = newBatch('b', [newItem('1')]);
 const begun = {
   type: 'batch-begun' as const,
   batch: 'b',
-  host: 'beginner',
-  incarnation: 'beginner',
+  host: 'executor',
+  incarnation: 'executor',
   from: null,
 };
 
-const said = { batch: 'b', host: 'beginner', address: '127.0.0.1:1' };
+const reported = { batch: 'b', host: 'executor', address: '127.0.0.1:1' };
 
-test('a batch that was begun before it was kept stays with its host, and with no other', async (t) => {
-  // The store comes back with a batch that one host has half done. Were its usual owner to run it
-  // too, each text would be made twice while all wait for engines.
-  const beginner = newHost('beginner', false);
-  beginner.batches.begin(batch);
-  t.deepEqual(beginner.isMine(), [true]);
-  t.is(beginner.batches.get('b'), undefined, 'nobody may be told of it yet');
+test('a batch that was begun before it was stored is run only by the host that began it', async (t) => {
+  // The store recovers when one host has half completed a batch. If the batch's owner ran it too,
+  // each text would be generated twice while all items wait for engines.
+  const executor = newHost('executor', false);
+  executor.batches.begin(batch);
+  t.deepEqual(executor.isAssigned(), [true]);
+  t.is(executor.batches.get('b'), undefined, 'no caller may be told of it yet');
   const owner = newHost('owner', true);
   await new Promise(setImmediate);
-  [beginner, owner].forEach(({ batches }) => {
+  [executor, owner].forEach(({ batches }) => {
     batches.apply(batch);
     batches.apply(begun);
   });
-  t.truthy(beginner.batches.get('b'));
-  t.deepEqual(beginner.isMine(), [true]);
-  t.deepEqual(owner.isMine(), [false]);
+  t.truthy(executor.batches.get('b'));
+  t.deepEqual(executor.isAssigned(), [true]);
+  t.deepEqual(owner.isAssigned(), [false]);
 });
 
-test('a batch whose beginner has died goes to its usual owner', async (t) => {
+test('a batch whose executor has died goes to its owner', async (t) => {
   const owner = newHost('owner', true);
   await new Promise(setImmediate);
   owner.batches.apply(batch);
   owner.batches.apply(begun);
-  owner.live.delete('beginner');
-  t.deepEqual(owner.isMine(), [false], 'heartbeats may be late after an outage');
+  owner.live.delete('executor');
+  t.deepEqual(owner.isAssigned(), [false], 'heartbeats may be late after an outage');
   await owner.clock.advance(2_500);
-  t.deepEqual(owner.isMine(), [true]);
+  t.deepEqual(owner.isAssigned(), [true]);
 });
 
-test('a batch whose beginner is stopped goes to its usual owner at once', async (t) => {
-  // Hosts are restarted in turn. Waiting for the heartbeats of one that has said good-bye cost the
-  // step two seconds.
+test('a batch whose executor is leaving goes to its owner at once', async (t) => {
+  // Hosts are restarted one after the other. Waiting for the heartbeats of a host that has
+  // announced that it is leaving delayed the step by two seconds.
   const owner = newHost('owner', true);
   await new Promise(setImmediate);
   owner.batches.apply(batch);
   owner.batches.apply(begun);
-  owner.left.add('beginner');
-  t.deepEqual(owner.isMine(), [true]);
+  owner.left.add('executor');
+  t.deepEqual(owner.isAssigned(), [true]);
 });
 
-test('a batch that another host was told to begin is left to it until its own word is due', async (t) => {
-  // Guards against a batch that two hosts run: the store has it first from a host that it came to
-  // again, and the word of the host that began it stands some milliseconds later.
+test('a batch that another host was told to begin is left to that host until its record is due', async (t) => {
+  // Guards against two hosts running a batch: a third host, which was sent the batch again, stores
+  // it first, and the record of the host that began it follows some milliseconds later.
   const owner = newHost('owner', true);
   await new Promise(setImmediate);
-  owner.batches.noteBeginner(said);
+  owner.batches.noteBeginner(reported);
   await owner.clock.advance(5_000);
   owner.batches.apply(batch);
-  t.deepEqual(owner.isMine(), [false]);
+  t.deepEqual(owner.isAssigned(), [false]);
   owner.batches.apply(begun);
-  t.deepEqual(owner.isMine(), [false]);
-  owner.left.add('beginner');
-  t.deepEqual(owner.isMine(), [true], 'what the log says counts from then on');
+  t.deepEqual(owner.isAssigned(), [false]);
+  owner.left.add('executor');
+  t.deepEqual(owner.isAssigned(), [true], 'from then on only the log counts');
 });
 
-test('a batch whose beginner never says so goes to its usual owner', async (t) => {
-  // Guards against a step that nobody runs: the host that was told to begin it has died.
+test('a batch whose executor never writes its record goes to its owner', async (t) => {
+  // Guards against a step that no host runs, since the host that was told to begin it has died.
   const owner = newHost('owner', true);
   await new Promise(setImmediate);
-  owner.batches.noteBeginner(said);
+  owner.batches.noteBeginner(reported);
   owner.batches.apply(batch);
   await owner.clock.advance(2_500);
-  t.deepEqual(owner.isMine(), [true]);
+  t.deepEqual(owner.isAssigned(), [true]);
 });
 
-test('a batch that was begun and withdrawn leaves nothing behind', (t) => {
-  const { batches } = newHost('beginner', false);
+test('a batch that was begun and withdrawn is removed', (t) => {
+  const { batches } = newHost('executor', false);
   batches.begin(batch);
   batches.withdraw('b');
   t.deepEqual(batches.open(), []);
@@ -111,9 +111,10 @@
   t.is(batches.open().length, 1);
 });
 
-test('a batch that was handed over stays with the host that took it', async (t) => {
-  // Hosts are restarted in turn, and the one that left is back before the batch is done. Ownership
-  // by name alone would move the batch back at once, and break off all that runs.
+test('a batch that was handed over is run only by the host that took it', async (t) => {
+  // Hosts are restarted one after the other, and the one that left is back before the batch is
+  // complete. Assignment by ownership alone would move the batch back at once and interrupt all its
+  // runs.
   const taker = newHost('taker', false);
   const owner = newHost('owner', true);
   await new Promise(setImmediate);
@@ -123,25 +124,25 @@
     batches.apply(begun);
   });
   t.true(taker.batches.adopt(batch));
-  t.deepEqual(taker.isMine(), [true], 'before the log tells');
-  const taken = { ...begun, host: 'taker', incarnation: 'taker', from: 'beginner' };
-  [taker, owner].forEach(({ batches }) => batches.apply(taken));
-  t.deepEqual(taker.isMine(), [true]);
-  t.deepEqual(owner.isMine(), [false]);
+  t.deepEqual(taker.isAssigned(), [true], 'before the log has the record');
+  const takeover = { ...begun, host: 'taker', incarnation: 'taker', from: 'executor' };
+  [taker, owner].forEach(({ batches }) => batches.apply(takeover));
+  t.deepEqual(taker.isAssigned(), [true]);
+  t.deepEqual(owner.isAssigned(), [false]);
 });
 
-test('a batch that was handed over is not run by its old host, until the new one is gone', async (t) => {
+test('a batch that was handed over is not run by its previous host until the new host has left', async (t) => {
   const old = newHost('owner', true);
   await new Promise(setImmediate);
   old.batches.apply(batch);
-  t.deepEqual(old.isMine(), [true]);
+  t.deepEqual(old.isAssigned(), [true]);
   old.batches.noteHandedOver('b');
-  t.deepEqual(old.isMine(), [false]);
+  t.deepEqual(old.isAssigned(), [false]);
   old.live.add('taker');
   old.batches.apply({ ...begun, host: 'taker', incarnation: 'taker', from: 'owner' });
-  t.deepEqual(old.isMine(), [false]);
+  t.deepEqual(old.isAssigned(), [false]);
   old.left.add('taker');
-  t.deepEqual(old.isMine(), [true]);
+  t.deepEqual(old.isAssigned(), [true]);
 });
 
 test('an ended batch is not taken over', (t) => {
@@ -151,17 +152,21 @@
   t.false(batches.adopt(batch));
 });
 
-test('a batch that was handed to a host that died comes back', async (t) => {
-  // A host that was cut off hands its batch over, and the other one is killed before it could write
-  // that down. The first is back and comes first for the batch; did it go by its own memory for ever,
-  // nobody would run the items that are left.
+test('a batch that was handed over to a host that died returns to its owner', async (t) => {
+  // A partitioned host hands its batch over, and the new host is killed before it can write its
+  // record. The first host, which owns the batch, is reachable again. If it relied on its own
+  // memory of the handover for ever, no host would run the remaining items.
   const old = newHost('owner', true);
   await new Promise(setImmediate);
   old.batches.apply(batch);
   old.batches.noteHandedOver('b');
-  old.view.isStanding = true;
+  old.view.isStale = true;
   await old.clock.advance(5_000);
-  t.deepEqual(old.isMine(), [false], 'while it reads nothing another host runs the batch');
-  old.view.isStanding = false;
-  t.deepEqual(old.isMine(), [true]);
+  t.deepEqual(
+    old.isAssigned(),
+    [false],
+    'while this host reads nothing another host runs the batch',
+  );
+  old.view.isStale = false;
+  t.deepEqual(old.isAssigned(), [true]);
 });
--- a/packages/batches/tests/newBatchKeeper.test.ts
+++ b/packages/batches/tests/newBatchKeeper.test.ts
@@ -7,7 +7,7 @@
 import { choosePeers } from '../src/newPeers.js';
 import { newBatch, newItem, silentLog } from './helpers.js';
 
-const newParts = (peers: WriteOutcome) => {
+const newFixture = (peers: WriteOutcome) => {
   const clock = newManualClock();
   const memory = newMemoryStore();
   const faults = newNoFaults();
@@ -31,18 +31,18 @@
   return { clock, memory, faults, calls, keepBatch, keepEnd };
 };
 
-test('a batch is kept at once while the store is there', async (t) => {
-  const { clock, calls, keepBatch } = newParts('written');
+test('a batch is written at once while the store is available', async (t) => {
+  const { clock, calls, keepBatch } = newFixture('written');
   const outcome = keepBatch();
   await clock.advance(1);
   t.is(await outcome, 'written');
   t.deepEqual(calls, []);
 });
 
-test('a batch that comes to a host which the store turns away is kept through another', async (t) => {
-  // The store refuses a third of the hosts for nine seconds. The trainer that came to one of them
-  // was refused, tried once more, and lost its step.
-  const { clock, faults, calls, keepBatch } = newParts('written');
+test('a batch that is sent to a host that the store rejects is written through another host', async (t) => {
+  // The store rejects a third of the hosts for nine seconds. A trainer that contacted one of them
+  // was refused, retried once, and lost its step.
+  const { clock, faults, calls, keepBatch } = newFixture('written');
   faults.isRefusing = true;
   const outcome = keepBatch();
   await clock.advance(350);
@@ -50,11 +50,11 @@
   t.deepEqual(calls, ['ask']);
 });
 
-test('a batch that comes while the store is away for all is begun, and not called refused', async (t) => {
-  // The store is down for six seconds, and a step arrives at the start. Refused, it is lost; its
-  // items have all that they need to run, but for a place to be kept. Once they may run, "not run"
-  // would be false, though the store surely has nothing.
-  const { clock, faults, calls, keepBatch } = newParts('not-written');
+test('a batch that is sent during a general store outage is begun, and not reported as refused', async (t) => {
+  // The store is down for six seconds, and a step is sent at the start. If it is refused it is
+  // lost, although its items can run without being stored. Once they may run, "not run" would be
+  // false even if the store certainly does not have the batch.
+  const { clock, faults, calls, keepBatch } = newFixture('not-written');
   faults.isRefusing = true;
   const outcome = keepBatch();
   await clock.advance(600);
@@ -63,8 +63,8 @@
   t.is(await outcome, 'unknown');
 });
 
-test("a store that is back within a caller's patience keeps the batch after all", async (t) => {
-  const { clock, memory, faults, keepBatch } = newParts('not-written');
+test("a batch is still written if the store recovers within the caller's timeout", async (t) => {
+  const { clock, memory, faults, keepBatch } = newFixture('not-written');
   faults.isRefusing = true;
   const outcome = keepBatch();
   await clock.advance(500);
@@ -74,13 +74,13 @@
   t.is(memory.bodies('b').length, 1);
 });
 
-test('an end that nobody could write is known not to be written', async (t) => {
-  const { clock, faults, calls, keepEnd } = newParts('not-written');
+test('an end that no host could write is reported as not written', async (t) => {
+  const { clock, faults, calls, keepEnd } = newFixture('not-written');
   faults.isRefusing = true;
   const outcome = keepEnd();
   await clock.advance(1_200);
   t.is(await outcome, 'not-written');
-  t.deepEqual(calls, ['ask'], 'an end begins nothing');
+  t.deepEqual(calls, ['ask'], 'an end does not begin a batch');
 });
 
 test('peers of other failure domains are asked first', (t) => {
--- a/packages/batches/tests/newBatchRunner.test.ts
+++ b/packages/batches/tests/newBatchRunner.test.ts
@@ -6,7 +6,7 @@
 const scoring = { id: 's1', hostName: 'parts.example', path: '/score', body: '' };
 const other = { ...scoring, id: 's2' };
 
-const whole: Part = {
+const completePart: Part = {
   type: 'part',
   batch: 'b',
   item: '1',
@@ -18,25 +18,26 @@
   isWhole: true,
 };
 
-test('an item is run, scored, and listed with the place of its text', async (t) => {
-  const { clock, batches, seen, close } = newRunnerHost();
+test('an item is run, scored, and listed with the location of its text', async (t) => {
+  const { clock, batches, observed, close } = newRunnerHost();
   batches.apply(newBatch('b', [newItem('1', { scoring })]));
   await clock.advance(500);
-  t.deepEqual(seen.runs, ['1']);
-  t.deepEqual(seen.scored, ['s1']);
-  t.is(seen.results[0]?.text?.topic, 'one\ntwo');
-  t.is(seen.results[0]?.score, 'good');
+  t.deepEqual(observed.runs, ['1']);
+  t.deepEqual(observed.scored, ['s1']);
+  t.is(observed.results[0]?.text?.topic, 'one\ntwo');
+  t.is(observed.results[0]?.score, 'good');
   await close();
 });
 
-test('a result is not written before the batch that it belongs to stands in the log', async (t) => {
-  // Begun while the store was away; hosts pass over a result of a batch that they do not know yet.
-  const { clock, batches, seen, close } = newRunnerHost();
+test('a result is not written before its batch is in the log', async (t) => {
+  // The batch was begun while the store was unavailable. Hosts ignore a result of a batch that they
+  // do not know yet.
+  const { clock, batches, observed, close } = newRunnerHost();
   const batch = newBatch('b', [newItem('1', { scoring })]);
   batches.begin(batch);
   await clock.advance(500);
-  t.deepEqual(seen.scored, ['s1']);
-  t.deepEqual(seen.results, []);
+  t.deepEqual(observed.scored, ['s1']);
+  t.deepEqual(observed.results, []);
   batches.apply(batch);
   await clock.advance(500);
   t.deepEqual(
@@ -47,66 +48,67 @@
 });
 
 test('a text restored after a restart is not scored before the end of its batch is read', async (t) => {
-  // A host starts and reads the log from its beginning: a batch, and its text, and only seconds of
-  // reading later the batch's end. Begun in between, scoring calls run for a batch that ended long
-  // ago, and its customer pays for them.
-  const { clock, batches, parts, seen, state, close } = newRunnerHost();
+  // A host starts and reads the log from its beginning: a batch, its text, and only seconds later
+  // the batch's end. Scoring calls that are made in between are paid by the customer of a batch
+  // that ended long ago.
+  const { clock, batches, parts, observed, state, close } = newRunnerHost();
   state.isFresh = false;
-  parts.apply(whole);
+  parts.apply(completePart);
   batches.apply(newBatch('b', [newItem('1', { scoring }), newItem('2', { scoring })]));
   await clock.advance(1_000);
   batches.apply({ type: 'batch-end', batch: 'b' });
   state.isFresh = true;
   await clock.advance(1_000);
-  t.deepEqual(seen.scored, []);
-  t.deepEqual(seen.runs, []);
+  t.deepEqual(observed.scored, []);
+  t.deepEqual(observed.runs, []);
   await close();
 });
 
-test('a text that becomes whole on an old view is scored once the view is new again', async (t) => {
-  // The store turns one host away alone. Its items run on, and meanwhile their batch is ended at
-  // another host. Scoring calls for them would run seconds after their customer was told that all
-  // of it has ended.
-  const { clock, batches, seen, state, goOn, close } = newRunnerHost();
+test('a text that is completed on a stale view is scored once the view is current again', async (t) => {
+  // The store rejects one host only. Its items continue to run while their batch is ended on
+  // another host. Scoring calls for them would run seconds after their customer was told that the
+  // whole batch had ended.
+  const { clock, batches, observed, state, resumeEngine, close } = newRunnerHost();
   const batch = newBatch('b', [newItem('1', { scoring }), newItem('2', { scoring: other })]);
   state.isSlow = true;
   batches.apply(batch);
   await clock.advance(300);
   state.isFresh = false;
-  goOn.abort();
+  resumeEngine.abort();
   await clock.advance(1_000);
-  t.deepEqual(seen.runs, ['1', '2']);
-  t.deepEqual(seen.scored, []);
+  t.deepEqual(observed.runs, ['1', '2']);
+  t.deepEqual(observed.scored, []);
   state.isFresh = true;
   await clock.advance(500);
-  t.deepEqual(seen.scored, ['s1', 's2']);
-  t.is(seen.results.length, 2);
+  t.deepEqual(observed.scored, ['s1', 's2']);
+  t.is(observed.results.length, 2);
   await close();
 });
 
-test('a batch that the store does not have yet runs on any view, and is listed once it has', async (t) => {
-  // The store is away: no view is fresh. This batch can't have been ended, since nobody was told
-  // that it is there.
-  const { clock, batches, seen, state, close } = newRunnerHost();
+test('a batch that the store does not have yet runs on any view, and is listed only once the store has it', async (t) => {
+  // No view is current while the store is unavailable. The batch cannot have been ended, since no
+  // caller was told that it exists.
+  const { clock, batches, observed, state, close } = newRunnerHost();
   state.isFresh = false;
   const batch = newBatch('b', [newItem('1', { scoring })]);
   batches.begin(batch);
   await clock.advance(500);
-  t.deepEqual(seen.runs, ['1']);
+  t.deepEqual(observed.runs, ['1']);
   t.deepEqual(batches.get('b')?.results ?? [], []);
   await close();
 });
 
-test('a host that is stopped hands its batches, with their texts so far, straight to another', async (t) => {
-  // Hosts are restarted in turn while the store is away. What the leaving host writes down reaches
-  // nobody, nobody learns that it leaves, and the step stands still until the store is back.
-  const { clock, batches, seen, state, runner, close } = newRunnerHost();
+test('a host that is stopped hands its batches, with their partial texts, directly to another host', async (t) => {
+  // Hosts are restarted one after the other while the store is unavailable. Nothing that the
+  // leaving host writes is stored, no host learns that it is leaving, and the step is idle until
+  // the store recovers.
+  const { clock, batches, observed, state, runner, close } = newRunnerHost();
   state.isSlow = true;
   batches.apply(newBatch('b', [newItem('1', { scoring }), newItem('2', { scoring })]));
   await clock.advance(500);
   await runner.handOver('stopped');
-  t.is(seen.handovers.length, 1);
-  const [handover] = seen.handovers;
+  t.is(observed.handovers.length, 1);
+  const [handover] = observed.handovers;
   t.deepEqual(handover?.batch.items.map(({ id }) => id).sort(), ['1', '2']);
   t.deepEqual(
     handover?.texts.map(({ events, lastEventId }) => [events, lastEventId]),
@@ -116,19 +118,19 @@
     ],
   );
   await clock.advance(500);
-  t.is(seen.runs.length, 2, 'nothing of it runs here any more');
+  t.is(observed.runs.length, 2, 'none of its items runs here any more');
   await close();
 });
 
-test('a batch that another host hands over goes on after the events that it brought', async (t) => {
-  const { clock, batches, parts, seen, close } = newRunnerHost();
+test('a batch that another host hands over resumes after the events that came with it', async (t) => {
+  const { clock, batches, parts, observed, close } = newRunnerHost();
   const batch = newBatch('b', [newItem('1', { scoring })]);
-  parts.apply({ ...whole, isWhole: false });
+  parts.apply({ ...completePart, isWhole: false });
   batches.begin(batch);
   await clock.advance(500);
   batches.apply(batch);
   await clock.advance(500);
-  t.deepEqual(seen.runs, ['1']);
-  t.is(seen.results.at(-1)?.text?.topic, 'one\ntwo');
+  t.deepEqual(observed.runs, ['1']);
+  t.is(observed.results.at(-1)?.text?.topic, 'one\ntwo');
   await close();
 });
--- a/packages/batches/tests/newBatches.test.ts
+++ b/packages/batches/tests/newBatches.test.ts
@@ -5,7 +5,7 @@
 import { encodeRecord, newRecordAssembler } from '../src/recordPieces.js';
 import { newBatch, newItem } from './helpers.js';
 
-const newParts = () => {
+const newFixture = () => {
   const clock = newManualClock();
   return { clock, batches: newBatches({ clock, lifeMs: 120_000, parts: newPartTexts(clock) }) };
 };
@@ -21,16 +21,16 @@
 });
 
 test('a batch that is sent twice is accepted once', (t) => {
-  // The answer to the first sending is lost, and its trainer sends it to another host.
-  const { batches } = newParts();
+  // The response to the first request is lost, and the trainer sends the batch to another host.
+  const { batches } = newFixture();
   batches.apply(newBatch('b', [newItem('1')]));
   batches.apply(newBatch('b', [newItem('1'), newItem('2')]));
   t.is(batches.get('b')?.items.size, 1);
 });
 
-test('of two results of an item the first stands, on every host', (t) => {
-  // Two hosts each believe that the batch is theirs to run, and both finish the item.
-  const { batches } = newParts();
+test('of two results of an item the first takes effect on every host', (t) => {
+  // Two hosts both run the batch and finish the item.
+  const { batches } = newFixture();
   batches.apply(newBatch('b', [newItem('1'), newItem('2')]));
   batches.apply(result('b', '2', 'first'));
   batches.apply(result('b', '1', 'one'));
@@ -45,15 +45,15 @@
 });
 
 test('a result of an unknown item or batch changes nothing', (t) => {
-  const { batches } = newParts();
+  const { batches } = newFixture();
   batches.apply(newBatch('b', [newItem('1')]));
   batches.apply(result('b', 'foreign', 'x'));
   batches.apply(result('other', '1', 'x'));
   t.is(batches.get('b')?.results.length, 0);
 });
 
-test('a batch is kept as long as it may be read, then forgotten', async (t) => {
-  const { clock, batches } = newParts();
+test('a batch is retained as long as it may be read, then evicted', async (t) => {
+  const { clock, batches } = newFixture();
   batches.apply(newBatch('b', [newItem('1')], { acceptedAt: clock.wallTime() }));
   await clock.advance(119_000);
   batches.apply(newBatch('c', [newItem('1')], { acceptedAt: clock.wallTime() }));
@@ -63,7 +63,7 @@
   t.is(batches.get('b'), undefined);
 });
 
-test('a large batch travels in pieces that are put together again', (t) => {
+test('a large batch is split into pieces that are reassembled', (t) => {
   // A step of 512 samples does not fit into one record of the store.
   const items = Array.from({ length: 512 }, (_, index) =>
     newItem(String(index), { body: 'x'.repeat(900) }),
@@ -78,8 +78,8 @@
   t.true(whole.slice(0, -1).every((part) => part === null));
 });
 
-test('pieces whose beginning is gone are left out', (t) => {
-  // History begins in the middle of a large record.
+test('pieces of a record whose beginning was trimmed are ignored', (t) => {
+  // The log starts in the middle of a large record.
   const pieces = encodeRecord(newBatch('b', [newItem('1', { body: 'x'.repeat(500_000) })]), 'p');
   const assemble = newRecordAssembler();
   const whole = pieces.slice(1).map((piece) => assemble(JSON.parse(piece.toString())));
--- a/packages/batches/tests/newCutWatch.test.ts
+++ b/packages/batches/tests/newCutWatch.test.ts
@@ -4,7 +4,7 @@
 import type { Touch } from '../src/peerRouter.js';
 import { silentLog } from './helpers.js';
 
-/** A host that runs items, whose view is renewed while it reaches the store. */
+/** Creates a host that runs items and whose view is refreshed while it reaches the store. */
 const newHost = () => {
   const clock = newManualClock();
   const state = {
@@ -37,9 +37,9 @@
   return { clock, state, watch, close };
 };
 
-test('a host that alone is cut off from the store hands its batches over', async (t) => {
-  // The store turns one host away for nine seconds. Its results can't be listed, and its step would
-  // be made anew by another host beside it.
+test('a host that alone is partitioned from the store hands its batches over', async (t) => {
+  // The store rejects one host for nine seconds. Its results cannot be listed, and another host
+  // would generate its step again at the same time.
   const { clock, state, close } = newHost();
   await clock.advance(3_000);
   t.is(state.handovers, 0);
@@ -49,7 +49,7 @@
   await close();
 });
 
-test('while nobody reaches the store each host goes on with what it has', async (t) => {
+test('while no host reaches the store each host keeps its batches', async (t) => {
   const { clock, state, watch, close } = newHost();
   state.isReached = false;
   state.others = 'none';
@@ -59,8 +59,9 @@
   await close();
 });
 
-test('a host without items says once that it is cut off', async (t) => {
-  // Steps of its models come to other hosts; they would wait for it for the life of a heartbeat.
+test('a partitioned host without items announces once that it is leaving', async (t) => {
+  // Steps of its models are sent to other hosts, which would wait for it until its heartbeat
+  // expires.
   const { clock, state, close } = newHost();
   state.openItems = 0;
   state.isReached = false;
@@ -70,14 +71,14 @@
   await clock.advance(500);
   state.isReached = false;
   await clock.advance(2_000);
-  t.is(state.handovers, 2, 'and again when it is cut off again');
+  t.is(state.handovers, 2, 'and again after a second partition');
   await close();
 });
 
-test('a host whose batches nobody takes knows all the same that others read the store', async (t) => {
-  // The store turns one host away, and its batch has just ended: others have read that, so none takes
-  // it over. The host itself can't hear of the end. It must not take this for an outage for all, in
-  // which nobody can end a batch, or it would go on to run what nobody wants.
+test('a host whose batches no host takes still knows that others read the store', async (t) => {
+  // The store rejects one host whose batch has just ended: the others have read the end, so none
+  // takes the batch over, while the host itself cannot read it. If it assumed a general outage, in
+  // which no host can end a batch, it would continue to run unwanted items.
   const { clock, state, watch, close } = newHost();
   await clock.advance(1_000);
   state.isReached = false;
@@ -90,8 +91,8 @@
   await close();
 });
 
-test('hosts that read again since a moment ago are no reason to hand over, but to start nothing', async (t) => {
-  // After an outage for all, calls of some hosts hang a little longer than those of others.
+test('peers that have just resumed reading cause no handover, but prevent new starts', async (t) => {
+  // After a general outage, calls of some hosts hang a little longer than those of others.
   const { clock, state, watch, close } = newHost();
   state.isReached = false;
   state.others = 'new';
--- a/packages/batches/tests/newPartTexts.test.ts
+++ b/packages/batches/tests/newPartTexts.test.ts
@@ -25,7 +25,7 @@
   ...changes,
 });
 
-test('pieces of one writer make one text', (t) => {
+test('parts of one writer are joined to one text', (t) => {
   const texts = newPartTexts(newManualClock());
   texts.apply(part('a', 0, ['1', '2']));
   texts.apply(part('a', 2, ['3']));
@@ -36,9 +36,9 @@
   });
 });
 
-test('pieces of two writers are never joined', (t) => {
-  // A host was taken for dead and still writes, while another goes on with its items. Joined, the
-  // text would be one that no engine made.
+test('parts of two writers are never joined', (t) => {
+  // A host that was considered dead still writes while another host resumes its items. The joined
+  // text would be one that no engine generated.
   const texts = newPartTexts(newManualClock());
   texts.apply(part('a', 0, ['1', '2']));
   texts.apply(part('b', 0, ['1', '2', 'b3']));
@@ -47,16 +47,16 @@
   t.deepEqual(texts.get('1')?.progress.events, ['1', '2', 'b3']);
 });
 
-test('a piece that follows a lost one is left out', (t) => {
+test('a part that follows a lost one is ignored', (t) => {
   const texts = newPartTexts(newManualClock());
   texts.apply(part('a', 0, ['1']));
   texts.apply(part('a', 2, ['3']));
   t.deepEqual(texts.get('1')?.progress.events, ['1']);
 });
 
-test('another host goes on after the last event that was written down', (t) => {
-  // The host that runs a batch dies. Its items go on at the next host; made anew from the start,
-  // the long ones would miss their step.
+test('another host resumes after the last event that was written', (t) => {
+  // The host that runs a batch dies, and its items resume on the next host. Generated again from
+  // the start, the long ones would miss their step.
   const clock = newManualClock();
   const parts = newPartTexts(clock);
   const batches = newBatches({ clock, lifeMs: 120_000, parts });
@@ -69,7 +69,7 @@
   t.is(second?.progress.lastEventId, null);
 });
 
-test('a text that is whole is only scored by the next host', (t) => {
+test('a complete text is only scored by the next host', (t) => {
   const clock = newManualClock();
   const parts = newPartTexts(clock);
   const batches = newBatches({ clock, lifeMs: 120_000, parts });
@@ -79,8 +79,8 @@
   t.is(tasks.reconcile(batches.open())[0]?.phase, 'unscored');
 });
 
-test('text that is too old for a later batch is not used there', (t) => {
-  // A group is carried over into a step that no longer allows the version that made its text.
+test('text that is too old for a later batch is not reused', (t) => {
+  // A group is carried over into a step that no longer allows the version that generated its text.
   const clock = newManualClock();
   const parts = newPartTexts(clock);
   const batches = newBatches({ clock, lifeMs: 120_000, parts });
@@ -92,8 +92,8 @@
   t.deepEqual(tasks.reconcile(batches.open())[0]?.progress.events, []);
 });
 
-test('after a piece without an answer the whole text is written again', async (t) => {
-  // Whether the piece stands is not known; one that continues it might be left out for ever.
+test('after an unacknowledged part the whole text is written again', async (t) => {
+  // Whether the part was written is unknown; a part that continues it might be ignored for ever.
   const clock = newManualClock();
   const parts = newPartTexts(clock);
   const batches = newBatches({ clock, lifeMs: 120_000, parts });
--- a/packages/batches/tests/newPeers.test.ts
+++ b/packages/batches/tests/newPeers.test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import { handover, newCaller, newPeer } from './peerHelpers.js';
 
-test('a batch goes to the first host in turn that takes it', async (t) => {
-  // The first one is gone, the second is stopped as well.
+test('a batch is handed over to the first host in order of preference that takes it', async (t) => {
+  // The first host is unreachable, and the second is leaving as well.
   const leaving = await newPeer('d', false);
   const willing = await newPeer('c', true);
   const gone = { host: 'e', failureDomain: 'detroit', address: '127.0.0.1:1', cores: 1 };
@@ -14,7 +14,7 @@
   [leaving, willing].forEach(({ server }) => server.close());
 });
 
-test('a batch that nobody takes is said to be with nobody', async (t) => {
+test('a batch that no host takes is reported as not handed over', async (t) => {
   const leaving = await newPeer('d', false);
   const peers = newCaller([leaving.peer]);
   t.is(await peers.handOver(handover), null);
@@ -22,10 +22,10 @@
   leaving.server.close();
 });
 
-test('a batch that comes again is not begun by a second host', async (t) => {
-  // The store is away. The first host in turn is busy and answers late, so its sender, which hears
-  // nothing, brings the batch to another host. Passed over, the first host and the second would both
-  // run the batch, and each text would be made twice.
+test('a batch that is sent again is not begun by a second host', async (t) => {
+  // The store is unavailable. The first host is busy and answers late, so the sender, which gets no
+  // response, sends the batch to another host. If the first host were passed over, both would run
+  // the batch and each text would be generated twice.
   const slow = await newPeer('c', true, 250);
   const quick = await newPeer('b', true);
   const first = newCaller([slow.peer, quick.peer]);
@@ -37,9 +37,9 @@
   [slow, quick].forEach(({ server }) => server.close());
 });
 
-test('a host that is cut off is passed over, and what another has begun stays with it', async (t) => {
-  // One caller can't reach the first host in turn, and has the second begin. Another caller reaches
-  // both, and must find out that the second runs the batch already.
+test('an unreachable host is passed over, and a batch that another host has begun stays with that host', async (t) => {
+  // One caller cannot reach the first host and has the second begin the batch. Another caller
+  // reaches both, and must find out that the second already runs the batch.
   const first = await newPeer('c', true);
   const second = await newPeer('b', true);
   const cut = { ...first.peer, address: '127.0.0.1:1', cores: 1 };
@@ -50,21 +50,21 @@
   [first, second].forEach(({ server }) => server.close());
 });
 
-test('hosts that may come to run a batch hear who has begun it', async (t) => {
-  // Guards against a batch that two hosts run: the store has it from a third one first, without a
-  // word of who runs it.
+test('hosts that may come to run a batch are told which host has begun it', async (t) => {
+  // Guards against two hosts running a batch: a third host stores it first, without a record of who
+  // runs it.
   const first = await newPeer('c', true);
   const second = await newPeer('b', true);
   await newCaller([first.peer, second.peer]).begin(handover.batch);
-  while (second.heard.length === 0) await new Promise(setImmediate);
-  t.deepEqual(second.heard, ['b at c']);
-  t.deepEqual(first.heard, []);
+  while (second.executorReports.length === 0) await new Promise(setImmediate);
+  t.deepEqual(second.executorReports, ['b at c']);
+  t.deepEqual(first.executorReports, []);
   [first, second].forEach(({ server }) => server.close());
 });
 
-test('a batch stays with the host that began it also for one that knows that host by hearsay only', async (t) => {
-  // Guards against a batch that two hosts run: one of them came just before the store went away, and
-  // not all others have read its heartbeat.
+test('a batch stays with the host that began it even for a host that has not read its heartbeat', async (t) => {
+  // Guards against two hosts running a batch: one of them started just before the store became
+  // unavailable, and not all others have read its heartbeat.
   const unread = await newPeer('c', true);
   const known = await newPeer('b', true);
   await newCaller([unread.peer, known.peer]).begin(handover.batch);
@@ -74,9 +74,10 @@
   [unread, known].forEach(({ server }) => server.close());
 });
 
-test('a batch that comes while the first host in turn leaves is begun by the next', async (t) => {
-  // Guards against a step that nobody runs: hosts are restarted in turn while the store is away, and
-  // each time that the batch comes the one that leaves is told to begin it.
+test('a batch that is sent while the first host is leaving is begun by the next', async (t) => {
+  // Guards against a step that no host runs: hosts are restarted one after the other while the
+  // store is unavailable, and the leaving host is told to begin the batch each time that it is
+  // sent.
   const leaving = await newPeer('c', false);
   const next = await newPeer('b', true);
   await newCaller([leaving.peer, next.peer]).begin(handover.batch);
@@ -84,8 +85,8 @@
   [leaving, next].forEach(({ server }) => server.close());
 });
 
-test('others write down that a host that is cut off takes no new work', async (t) => {
-  // The store turns one host away. New steps of its models would wait for the life of a heartbeat.
+test('other hosts announce that a partitioned host takes no new work', async (t) => {
+  // The store rejects one host. New steps of its models would wait until its heartbeat expires.
   const other = await newPeer('c', true);
   const peers = newCaller([other.peer]);
   const heartbeat = {
--- a/packages/batches/tests/newRequestReader.test.ts
+++ b/packages/batches/tests/newRequestReader.test.ts
@@ -9,8 +9,8 @@
 const place = { topic: 'texts-1', offset: 0, count: 1, bytes: 200 };
 const batch = newBatch('b', [newItem('1'), newItem('2')]);
 
-/** A host that has read the head of a batch, before a store that has its items. */
-const newParts = () => {
+/** Creates a host that has read the head of a batch, with a store that has the requests. */
+const newFixture = () => {
   const clock = newManualClock();
   const batches = newBatches({ clock, lifeMs: 120_000, parts: newPartTexts(clock) });
   const store = { isAway: false, reads: 0 };
@@ -29,40 +29,40 @@
 };
 
 test('a host that only follows a batch does not read its requests', (t) => {
-  const { store, state } = newParts();
+  const { store, state } = newFixture();
   t.is(state.items.size, 2);
   t.is(state.requests, null);
   t.is(store.reads, 0);
 });
 
 test('the host that runs a batch reads its requests once', async (t) => {
-  const { clock, store, requests, state } = newParts();
-  t.false(requests.isHere(state));
-  t.false(requests.isHere(state));
+  const { clock, store, requests, state } = newFixture();
+  t.false(requests.isLoaded(state));
+  t.false(requests.isLoaded(state));
   await clock.advance(10);
-  t.true(requests.isHere(state));
+  t.true(requests.isLoaded(state));
   t.is(state.requests?.get('2')?.path, '/rounds/2');
   t.is(store.reads, 1);
 });
 
-test('requests that the store does not give are asked for again', async (t) => {
-  // The store turns this host away as a batch becomes its own. Taken for empty, the batch would
-  // never run here though the host owns it.
-  const { clock, store, requests, state } = newParts();
+test('requests that the store did not return are read again', async (t) => {
+  // The store rejects this host when it comes to own a batch. If the batch were considered empty,
+  // it would never run although this host owns it.
+  const { clock, store, requests, state } = newFixture();
   store.isAway = true;
   t.is(await requests.read(state), null);
-  t.false(requests.isHere(state));
-  t.is(store.reads, 1, 'not at once');
+  t.false(requests.isLoaded(state));
+  t.is(store.reads, 1, 'not retried at once');
   store.isAway = false;
   await clock.advance(150);
-  t.false(requests.isHere(state));
+  t.false(requests.isLoaded(state));
   await clock.advance(10);
-  t.true(requests.isHere(state));
+  t.true(requests.isLoaded(state));
 });
 
-test('an item of an ended batch is given, and not kept', async (t) => {
-  // The end and a caller's question for an item cross each other.
-  const { batches, requests, state } = newParts();
+test('an item of an ended batch is returned but not retained', async (t) => {
+  // The end of the batch and a caller's request for an item overlap.
+  const { batches, requests, state } = newFixture();
   batches.apply({ type: 'batch-end', batch: 'b' });
   const items = await requests.read(state);
   t.is(items?.get('1')?.path, '/rounds/1');
--- a/packages/batches/tests/newRunnerHost.ts
+++ b/packages/batches/tests/newRunnerHost.ts
@@ -32,7 +32,7 @@
   splits: [{ service: 'models', weight: 1 }],
 };
 
-/** One host's runner over an engine that makes two events of each item. */
+/** Creates the runner of one host, with an engine that generates two events for each item. */
 const newRunnerHost = () => {
   const clock = newManualClock();
   const parts = newPartTexts(clock);
@@ -40,22 +40,22 @@
   const view = newSettingsView(silentLog);
   const limits = { mostHeaderBytes: 0, mostBodyBytes: 0, headerTimeoutMs: 0, idleTimeoutMs: 0 };
   view.put({ version: 1, routes: [route], services: [], customers: null, limits });
-  const seen = {
+  const observed = {
     runs: [] as string[],
     scored: [] as string[],
     results: [] as ItemResult[],
     handovers: [] as Handover[],
   };
   const state = { isFresh: true, isSlow: false };
-  /** Lets a slow engine go on. */
-  const goOn = new AbortController();
+  /** Lets a slow engine continue when aborted. */
+  const resumeEngine = new AbortController();
 
   async function* body(after: string | null, signal: AbortSignal): AsyncGenerator<Buffer> {
     if (after === null) yield Buffer.from(eventLine(1, 'one'));
     if (state.isSlow) {
       await new Promise((resolve) => {
         signal.addEventListener('abort', resolve);
-        goOn.signal.addEventListener('abort', resolve);
+        resumeEngine.signal.addEventListener('abort', resolve);
       });
       if (signal.aborted) throw new BrokenAnswer('cut');
     }
@@ -69,7 +69,7 @@
       _firstByteBy: number,
       signal: AbortSignal,
     ): Promise<UpstreamOutcome> {
-      seen.runs.push(request.requestId);
+      observed.runs.push(request.requestId);
       const head = { status: 200, headers: {}, signature: 's', load: null, isEventStream: true };
       return {
         type: 'answer',
@@ -94,7 +94,7 @@
     health: newHealth(clock, silentLog),
     loads: newLoads(clock),
     scorer: async ({ id }) => {
-      seen.scored.push(id);
+      observed.scored.push(id);
       return { type: 'score', score: 'good' };
     },
     readSettings: view.read,
@@ -107,7 +107,7 @@
     isLive: () => true,
     hasLeft: () => false,
     write: async (result) => {
-      seen.results.push(result);
+      observed.results.push(result);
       batches.apply(result);
       return 'written';
     },
@@ -115,7 +115,7 @@
     writeText: async (_batch, text) => ({ topic: text, offset: 0, count: 1, bytes: text.length }),
     readParts: async () => {},
     handOverTo: async (handover) => {
-      seen.handovers.push(handover);
+      observed.handovers.push(handover);
       return 'host-2';
     },
     requests: newRequestReader({ clock, log: silentLog, readTexts: async () => [] }),
@@ -127,7 +127,7 @@
     await clock.advance(500);
     await running;
   };
-  return { clock, batches, parts, seen, state, goOn, runner, close };
+  return { clock, batches, parts, observed, state, resumeEngine, runner, close };
 };
 
 export default newRunnerHost;
--- a/packages/batches/tests/newSlowView.ts
+++ b/packages/batches/tests/newSlowStore.ts
@@ -14,14 +14,18 @@
 
 interface Link {
   latencyMs: number;
-  bytesAMs: number;
+  bytesPerMs: number;
 }
 
-/** A store whose pages take time on a host's link, one after the other. */
-export const newSlowView = (clock: Clock, store: Store, { latencyMs, bytesAMs }: Link): Store => {
+/** Creates a view of a store whose pages are transferred one after the other over a host's link. */
+export const newSlowStore = (
+  clock: Clock,
+  store: Store,
+  { latencyMs, bytesPerMs }: Link,
+): Store => {
   let freeAt = -Infinity;
 
-  class SlowView extends Store {
+  class SlowStore extends Store {
     async read(
       topic: string,
       from: number,
@@ -32,7 +36,7 @@
       const page = await store.read(topic, from, waitMs, signal, mostKb);
       const records = page.ok ? page.val.records : [];
       const bytes = records.reduce((sum, { body }) => sum + body.length, 0);
-      freeAt = Math.max(freeAt, clock.now()) + bytes / bytesAMs;
+      freeAt = Math.max(freeAt, clock.now()) + bytes / bytesPerMs;
       await clock.sleepUntil(freeAt + latencyMs);
       return page;
     }
@@ -57,13 +61,13 @@
       return store.keyed(record);
     }
   }
-  return new SlowView();
+  return new SlowStore();
 };
 
 const STEP_MS = 5;
 
-/** Moves time on until something is done. */
-export const drive = async <T>(clock: ManualClock, work: Promise<T>): Promise<T> => {
+/** Advances the clock until a promise is settled. */
+export const advanceUntilSettled = async <T>(clock: ManualClock, work: Promise<T>): Promise<T> => {
   let isDone = false;
   work.finally(() => {
     isDone = true;
--- a/packages/batches/tests/newTakeovers.test.ts
+++ b/packages/batches/tests/newTakeovers.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import newTakeovers from '../src/newTakeovers.js';
 
-const newParts = (isOwner: (subject: string) => boolean) => {
+const newFixture = (isOwner: (subject: string) => boolean) => {
   const clock = newManualClock();
   const reads: (() => void)[] = [];
   const readParts = () =>
@@ -12,10 +12,10 @@
   return { reads, takeovers: newTakeovers({ clock, isOwner, readParts }) };
 };
 
-test("a host reads its predecessor's texts once before it begins", async (t) => {
-  // The host that ran a batch dies after six seconds of a long text. Its successor begins at once
-  // and makes the text anew from the first token: the step is late.
-  const { reads, takeovers } = newParts(() => true);
+test("a host reads the previous owner's texts once before it starts", async (t) => {
+  // The host that ran a batch dies after generating a long text for six seconds. A successor that
+  // starts at once generates the text again from the first token, and the step is late.
+  const { reads, takeovers } = newFixture(() => true);
   t.false(takeovers.mayBegin('x'));
   t.false(takeovers.mayBegin('x'));
   t.is(reads.length, 1);
@@ -24,10 +24,10 @@
   t.true(takeovers.mayBegin('x'));
 });
 
-test('a host that owned a subject, lost it and owns it again reads once more', async (t) => {
-  // Another host went on in between; what this one remembers is older.
+test('a host that regains ownership of a subject reads the texts again', async (t) => {
+  // Another host ran the items in between, so what this host has read is stale.
   let owns = true;
-  const { reads, takeovers } = newParts(() => owns);
+  const { reads, takeovers } = newFixture(() => owns);
   takeovers.mayBegin('x');
   reads[0]?.();
   await new Promise(setImmediate);
--- a/packages/batches/tests/newTexts.test.ts
+++ b/packages/batches/tests/newTexts.test.ts
@@ -5,7 +5,7 @@
 import newTextCache from '../src/newTextCache.js';
 import newTexts from '../src/newTexts.js';
 import { silentLog } from './helpers.js';
-import { drive, newSlowView } from './newSlowView.js';
+import { advanceUntilSettled, newSlowStore } from './newSlowStore.js';
 
 const newHosts = () => {
   const clock = newManualClock();
@@ -28,7 +28,7 @@
   return { clock, memory, writer: newHost('host-1'), reader: newHost('host-2') };
 };
 
-test('any host gives the texts of results, in the order in which they are asked for', async (t) => {
+test('any host returns the texts of results in the requested order', async (t) => {
   const { clock, writer, reader } = newHosts();
   const by = clock.now() + 1_000;
   const first = await writer.texts.write('b', 'first', by);
@@ -37,7 +37,7 @@
   t.deepEqual(await reader.texts.read([second, null, first], by), ['second', '', 'first']);
 });
 
-test('a text that is larger than a record is put together again', async (t) => {
+test('a text that is larger than a record is reassembled', async (t) => {
   const { clock, writer, reader } = newHosts();
   const long = 'äx'.repeat(200_000);
   const place = await writer.texts.write('b', long, clock.now() + 1_000);
@@ -45,20 +45,20 @@
   t.deepEqual(await reader.texts.read([place], clock.now() + 1_000), [long]);
 });
 
-test('the requests of a large batch, more than one page of the store holds, are read', async (t) => {
-  // Each call would bring the same first records again, and the batch would never begin.
+test('the requests of a batch are read even if they exceed one page of the store', async (t) => {
+  // Each call would return the same first records again, and the batch would never start.
   const { clock, memory, writer } = newHosts();
   const long = Array.from({ length: 250_000 }, (_, index) => String(index).padStart(8)).join('');
   const place = await writer.texts.write('b', long, clock.now() + 1_000);
-  const store = newSlowView(clock, memory.newView(), { latencyMs: 4, bytesAMs: 50_000 });
+  const store = newSlowStore(clock, memory.newView(), { latencyMs: 4, bytesPerMs: 50_000 });
   const texts = newTexts({ clock, log: silentLog, store, producer: 'host-3' });
-  const [read] = await drive(clock, texts.read([place], clock.now() + 700));
+  const [read] = await advanceUntilSettled(clock, texts.read([place], clock.now() + 700));
   t.true(read === long);
 });
 
-test('a text that can not be read is never given as an empty one', async (t) => {
-  // The store turns one host away. A trainer that got empty texts from it would train on them; the
-  // host has to say that it can't answer.
+test('a text that cannot be read is never returned as an empty one', async (t) => {
+  // The store rejects one host. A trainer that got empty texts from it would train on them; the
+  // host has to report that it cannot answer.
   const { clock, writer, reader } = newHosts();
   const place = await writer.texts.write('b', 'text', clock.now() + 1_000);
   reader.faults.isRefusing = true;
@@ -66,8 +66,9 @@
   t.deepEqual(await writer.texts.read([place], clock.now() + 1_000), ['text']);
 });
 
-test('batches that run at the same time mostly keep their texts apart', async (t) => {
-  // A reader of one would wait for the other's bytes: on a weak link longer than its caller does.
+test('concurrent batches mostly store their texts in different topics', async (t) => {
+  // A reader of one batch would also transfer the texts of the others, which takes longer over a
+  // slow link than its caller waits.
   const { clock, writer } = newHosts();
   const running = 12;
   const rounds = 50;
@@ -81,30 +82,30 @@
   t.true(shared / (running * rounds) < 1 / 4);
 });
 
-test('a text that came too late can be told from one that is gone', async (t) => {
-  // All three are a refusal to the caller; only the line tells an operator what to look for.
+test('a text that is read too late can be distinguished from one that is missing', async (t) => {
+  // All three cases are a refusal to the caller; only the log line tells an operator the cause.
   const { clock, writer, reader } = newHosts();
   const place = await writer.texts.write('b', 'text', clock.now() + 1_000);
-  const gone = { ...place!, offset: 7 };
+  const missing = { ...place!, offset: 7 };
   t.deepEqual(await reader.texts.read([place], clock.now() - 1_000), []);
-  t.deepEqual(await reader.texts.read([gone], clock.now() + 1_000), []);
+  t.deepEqual(await reader.texts.read([missing], clock.now() + 1_000), []);
   reader.faults.isRefusing = true;
   t.deepEqual(await reader.texts.read([place], clock.now() + 1_000), []);
   t.deepEqual(reader.unread, ['late', 'no-records', 'not-done']);
 });
 
-test('a store that resets every connection is asked three times for a page, not all the time', async (t) => {
-  // Each call has its price, and a storm of them takes what other hosts need.
+test('a store that resets every connection is asked only three times for a page', async (t) => {
+  // Each call has a cost, and a retry storm takes capacity that other hosts need.
   const { clock, writer, reader } = newHosts();
   const place = await writer.texts.write('b', 'text', clock.now() + 1_000);
   reader.faults.isSilent = true;
-  t.deepEqual(await drive(clock, reader.texts.read([place], clock.now() + 400)), []);
+  t.deepEqual(await advanceUntilSettled(clock, reader.texts.read([place], clock.now() + 400)), []);
   t.deepEqual(reader.unread, ['unknown']);
   t.is(reader.failedReads(), 3);
 });
 
-test('a text at a wrong place is not given for the one that was asked for', async (t) => {
-  // A place that is one too high shows another item's text; a trainer would train on it.
+test('a text at a wrong location is not returned for the requested one', async (t) => {
+  // A location that is off by one refers to another item's text, and a trainer would train on it.
   const { clock, writer, reader } = newHosts();
   const by = clock.now() + 1_000;
   const place = await writer.texts.write('b', 'text', by);
@@ -113,22 +114,23 @@
   t.deepEqual(reader.unread, ['misplaced']);
 });
 
-test('texts that are here are given in time though the store does not answer for others', async (t) => {
-  // A call may hang for longer than its caller waits; what was there before it was held back as well.
+test('cached texts are returned in time even if the store does not answer for others', async (t) => {
+  // A call may hang for longer than its caller waits, and texts that were already available were
+  // held back as well.
   const { clock, memory, writer } = newHosts();
   const there = await writer.texts.write('b', 'there', clock.now() + 1_000);
-  const hanging = newSlowView(clock, memory.newView(), { latencyMs: 60_000, bytesAMs: 1 });
+  const hanging = newSlowStore(clock, memory.newView(), { latencyMs: 60_000, bytesPerMs: 1 });
   const texts = newTexts({ clock, log: silentLog, store: hanging, producer: 'host-3' });
   await texts.write('b', 'own', clock.now() + 1_000);
   const own = { ...there!, offset: 1, bytes: 3 };
   const deadline = clock.now() + 400;
-  t.deepEqual(await drive(clock, texts.read([own, there], deadline)), ['own']);
+  t.deepEqual(await advanceUntilSettled(clock, texts.read([own, there], deadline)), ['own']);
   t.true(clock.now() < deadline + 200);
 });
 
-test('a text whose place is not known does not count as written', async (t) => {
-  // The answer to the append is lost, and its repetition too. A result that named a guessed place
-  // would show another item's text.
+test('a text whose location is not known does not count as written', async (t) => {
+  // The response to the append is lost, and so is that to its retry. A result with a guessed
+  // location would return another item's text.
   const { clock, writer } = newHosts();
   writer.faults.isSilent = true;
   const placed = writer.texts.write('b', 'text', clock.now() + 500);
@@ -136,7 +138,7 @@
   t.is(await placed, null);
 });
 
-test('the oldest texts leave the memory first', (t) => {
+test('the oldest texts are evicted first', (t) => {
   const cache = newTextCache(10);
   cache.put('texts', 0, Buffer.from('12345'));
   cache.put('texts', 1, Buffer.from('12345'));
--- a/packages/batches/tests/newBlackHole.ts
+++ b/packages/batches/tests/newUnreachableAddress.ts
@@ -3,7 +3,10 @@
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
 
-/** Accepts nothing: its queue of two connections is full, and the system drops whoever comes next. */
+/**
+ * Accepts no connections: its backlog of two connections is full, and the system drops further
+ * attempts.
+ */
 const PROGRAM = `
 const server = require('node:net').createServer();
 server.listen({ port: 0, host: '127.0.0.1', backlog: 1 }, () => {
@@ -11,7 +14,7 @@
     Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0);
   });
 });`;
-const FULL_AT = 2;
+const BACKLOG_CONNECTIONS = 2;
 
 const open = async (port: number): Promise<Socket> => {
   const socket = connect(port, '127.0.0.1');
@@ -20,12 +23,14 @@
   return socket;
 };
 
-/** An address from which nothing comes back, as of a host beyond a cut. */
-const newBlackHole = async () => {
+/**
+ * Creates an address that drops all connection attempts, like a host behind a network partition.
+ */
+const newUnreachableAddress = async () => {
   const child = spawn(process.execPath, ['-e', PROGRAM], { stdio: ['ignore', 'pipe', 'inherit'] });
   const [port] = (await once(child.stdout, 'data')) as [Buffer];
   const sockets = await Promise.all(
-    Array.from({ length: FULL_AT }, () => open(Number(port.toString()))),
+    Array.from({ length: BACKLOG_CONNECTIONS }, () => open(Number(port.toString()))),
   );
   const close = (): void => {
     sockets.forEach((socket) => socket.destroy());
@@ -34,4 +39,4 @@
   return { address: `127.0.0.1:${port.toString()}`, close };
 };
 
-export default newBlackHole;
+export default newUnreachableAddress;
--- a/packages/batches/tests/peerHelpers.ts
+++ b/packages/batches/tests/peerHelpers.ts
@@ -5,36 +5,39 @@
 import newPeers from '../src/newPeers.js';
 import type { Peer } from '../src/newPeers.js';
 import newPeerServer from '../src/newPeerServer.js';
-import type { Beginner } from '../src/peerRouter.js';
+import type { BatchExecutor } from '../src/peerRouter.js';
 import { newBatch, newItem, silentLog } from './helpers.js';
 
 const clock = newSystemClock();
 
-/** Another host: whether it takes work and reads the store, and what it was handed. */
-export const newPeer = async (host: string, isWilling: boolean, answerMs = 0) => {
+/**
+ * Starts another host, which takes work and reads the store only if it accepts work, and records
+ * its calls.
+ */
+export const newPeer = async (host: string, acceptsWork: boolean, answerMs = 0) => {
   const taken: Handover[] = [];
   const begun = new Set<string>();
   const announced: string[] = [];
-  const heard: string[] = [];
+  const executorReports: string[] = [];
   const server = newPeerServer({
     keep: async () => 'written',
     begin: ({ id }) => {
-      if (isWilling) begun.add(id);
-      return isWilling ? 'begun' : 'leaving';
+      if (acceptsWork) begun.add(id);
+      return acceptsWork ? 'begun' : 'leaving';
     },
     hasBegun: (id) => begun.has(id),
-    noteBegun: ({ batch, host: beginner }) => {
-      heard.push(`${batch} at ${beginner}`);
+    noteBegun: ({ batch, host: executor }) => {
+      executorReports.push(`${batch} at ${executor}`);
     },
     announce: async ({ host: leaving }) => {
       announced.push(leaving);
-      return isWilling;
+      return acceptsWork;
     },
     takeOver: async (handover) => {
-      if (isWilling) taken.push(handover);
-      return isWilling;
+      if (acceptsWork) taken.push(handover);
+      return acceptsWork;
     },
-    touch: async () => (isWilling ? 'steady' : 'none'),
+    touch: async () => (acceptsWork ? 'steady' : 'none'),
   });
   const [answer] = server.listeners('request') as ((...args: unknown[]) => void)[];
   server.removeAllListeners('request');
@@ -43,17 +46,17 @@
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
   const peer = { host, failureDomain: 'detroit', address: `127.0.0.1:${port}`, cores: 1 };
-  return { peer, taken, begun, announced, heard, server };
+  return { peer, taken, begun, announced, executorReports, server };
 };
 
-export const newCaller = (peers: Peer[], heard: Beginner | null = null) =>
+export const newCaller = (peers: Peer[], reported: BatchExecutor | null = null) =>
   newPeers({
     clock,
     log: silentLog,
     failureDomain: 'detroit',
     readPeers: () => peers,
     self: { host: 'a', cores: 1, address: '127.0.0.1:1' },
-    // The caller itself comes last.
+    // The caller itself is ranked last.
     rank: (_batch, hosts) =>
       hosts
         .map(({ host }) => host)
@@ -62,7 +65,7 @@
     beginHere: () => 'leaving',
     hasBegunHere: () => false,
     noteBegunHere: () => {},
-    heardBeginner: () => heard,
+    heardBeginner: () => reported,
   });
 
 export const handover: Handover = {
--- a/packages/batches/tests/planning.test.ts
+++ b/packages/batches/tests/planning.test.ts
@@ -10,26 +10,26 @@
 const waiting = (key: string, changes: Partial<WaitingItem> = {}): WaitingItem => ({
   key,
   model: 'x',
-  leastVersion: 1,
-  onlyVersion: null,
+  minVersion: 1,
+  requiredVersion: null,
   expectedTokens: 600,
-  isCarried: false,
+  isCarriedOver: false,
   acceptedAt: 1_000,
-  avoid: null,
+  avoidedUpstream: null,
   ...changes,
 });
 
 const never = (): boolean => false;
-const noLuck = (): number => 0;
+const zeroRandom = (): number => 0;
 
-test('the longest items start first when slots are short', (t) => {
-  // Thirty items wait for eight slots. A step is whole when its slowest item is; the longest one,
-  // started last, would end long after all others.
+test('the longest items start first when slots are scarce', (t) => {
+  // Thirty items wait for eight slots. A step is complete when its slowest item is; if the longest
+  // item started last, it would end long after all others.
   const items = [
     waiting('short', { expectedTokens: 100 }),
     waiting('long', { expectedTokens: 9_000 }),
   ];
-  const starts = planStarts(items, [newCandidate('a', { load: 7 })], never, noLuck);
+  const starts = planStarts(items, [newCandidate('a', { load: 7 })], never, zeroRandom);
   t.deepEqual(
     starts.map(({ key }) => key),
     ['long'],
@@ -39,10 +39,10 @@
 test('groups that were carried over start before new ones, older batches before newer ones', (t) => {
   const items = [
     waiting('new', { expectedTokens: 900 }),
-    waiting('carried', { isCarried: true }),
+    waiting('carried', { isCarriedOver: true }),
     waiting('older', { acceptedAt: 500, expectedTokens: 10 }),
   ];
-  const starts = planStarts(items, [newCandidate('a', { load: 5 })], never, noLuck);
+  const starts = planStarts(items, [newCandidate('a', { load: 5 })], never, zeroRandom);
   t.deepEqual(
     starts.map(({ key }) => key),
     ['older', 'carried', 'new'],
@@ -50,24 +50,25 @@
 });
 
 test('no item starts on weights that its trainer no longer allows', (t) => {
-  // The trainer is at version 3 and takes 2 at the oldest; one engine still holds 1.
+  // The trainer is at version 3 and accepts version 2 at the oldest; one engine still has version
+  // 1.
   const stale = newCandidate('stale', {}, { models: [{ model: 'x', version: 1 }] });
-  t.deepEqual(planStarts([waiting('a', { leastVersion: 2 })], [stale], never), []);
+  t.deepEqual(planStarts([waiting('a', { minVersion: 2 })], [stale], never), []);
   const fresh = newCandidate('fresh', { load: 7 }, { models: [{ model: 'x', version: 2 }] });
-  const starts = planStarts([waiting('a', { leastVersion: 2 })], [stale, fresh], never);
+  const starts = planStarts([waiting('a', { minVersion: 2 })], [stale, fresh], never);
   t.is(starts[0]?.candidate.entry.id, 'fresh');
 });
 
-test('an engine that loads a model gets no more items of it for a while', async (t) => {
-  // It refuses each of them until the load is over. Sent to again and again, all waiting items
-  // would spend the load asking.
+test('an engine that loads a model gets no items of that model for a while', async (t) => {
+  // It refuses these items until the load is complete. Without a backoff, all waiting items would
+  // be sent to it again and again.
   const clock = newManualClock();
   const refusals = newRefusals(clock);
   refusals.note('a', 'x');
   const candidates = [newCandidate('a')];
   t.deepEqual(planStarts([waiting('1')], candidates, refusals.isRefusing), []);
   t.is(
-    planStarts([waiting('1', { model: 'y', leastVersion: 0 })], candidates, refusals.isRefusing)
+    planStarts([waiting('1', { model: 'y', minVersion: 0 })], candidates, refusals.isRefusing)
       .length,
     1,
   );
@@ -75,16 +76,16 @@
   t.is(planStarts([waiting('1')], candidates, refusals.isRefusing).length, 1);
 });
 
-test('an item does not go back to the engine that failed it while there is another', (t) => {
-  const items = [waiting('1', { avoid: 'a' })];
+test('an item is not retried on the engine that failed it while another engine is available', (t) => {
+  const items = [waiting('1', { avoidedUpstream: 'a' })];
   const starts = planStarts(items, [newCandidate('a'), newCandidate('b', { load: 6 })], never);
   t.is(starts[0]?.candidate.entry.id, 'b');
   t.is(planStarts(items, [newCandidate('a')], never)[0]?.candidate.entry.id, 'a');
 });
 
-test('a burst that fits starts at once, spread over the engines', (t) => {
-  // 48 items of a step arrive for six idle engines of eight slots. Before, sent to the least loaded
-  // engine as last reported, most would have queued on one.
+test('a burst that fits into the free slots starts at once, spread over the engines', (t) => {
+  // 48 items of a step arrive for six idle engines of eight slots. Sent to the engine with the
+  // lowest reported load, most would queue on one engine.
   const items = Array.from({ length: 48 }, (_, index) => waiting(String(index)));
   const engines = ['a', 'b', 'c', 'd', 'e', 'f'].map((id) => newCandidate(id));
   const starts = planStarts(items, engines, never);
@@ -95,8 +96,8 @@
   t.deepEqual(counts, [8, 8, 8, 8, 8, 8]);
 });
 
-test('long items leave an engine that has turned slow, as far as there is room', (t) => {
-  // One engine of three works four times slower, and says nothing of it. Its items would end long
+test('long items move away from a slow engine as far as other engines have free slots', (t) => {
+  // One engine of three becomes four times slower without reporting it. Its items would end long
   // after their step is due.
   const candidates = [
     newCandidate('slow', { pace: 140, load: 3 }),
@@ -116,15 +117,15 @@
   );
 });
 
-test('items leave an engine that is about to leave', (t) => {
+test('items move away from an engine that is draining', (t) => {
   const running = [{ key: 'one', upstream: 'leaving', expectedTokens: 900 }];
   const moves = findMoves(running, [newCandidate('a')], (id) => id === 'leaving');
   t.is(moves.length, 1);
 });
 
-test("items of one service are not moved for another service's engines", (t) => {
-  // Two services run models. Compared with the engines of the other one, each item seemed to run on
-  // an engine that was leaving, and was broken off once a second.
+test("items of one service are not moved because of another service's engines", (t) => {
+  // Two services run models. Compared with the engines of the other service, each item appeared to
+  // run on a draining engine and was interrupted once a second.
   const engines: Record<string, string> = { small: 'a', large: 'b' };
   const running = Object.entries(engines).map(([service, upstream]) => ({
     key: service,
