--- a/packages/batches/tests/runOnce.test.ts
+++ b/packages/batches/tests/runOnce.test.ts
@@ -17,13 +17,13 @@
 interface RunOptions {
   end?: 'whole' | 'broken';
   progress?: Progress;
-  least?: number;
+  minVersion?: number;
   version?: number | null;
 }
 
 const run = async (
   lines: string[],
-  { end = 'whole', progress = newProgress(), least = 1, version = 1 }: RunOptions = {},
+  { end = 'whole', progress = newProgress(), minVersion = 1, version = 1 }: RunOptions = {},
 ) => {
   const sent: UpstreamRequest[] = [];
 
@@ -58,7 +58,7 @@
       deadline: null,
       lastEventId: progress.lastEventId,
     },
-    isVersionAllowed: (candidate) => candidate >= least,
+    isVersionAllowed: (candidate) => candidate >= minVersion,
     onEvent: () => {},
     onLoad: () => {},
     signal: new AbortController().signal,
@@ -66,8 +66,8 @@
   return { outcome, progress, sent };
 };
 
-test('a text names every version that made an event of it', async (t) => {
-  // New weights arrive in the middle of a text, and the engine goes on under them.
+test('a text lists every version that generated one of its events', async (t) => {
+  // New weights arrive in the middle of a text, and the engine continues with them.
   const { outcome, progress } = await run([
     eventLine(1, 'a'),
     eventLine(2, 'b', 2),
@@ -78,16 +78,16 @@
   t.deepEqual(progress.events, ['a', 'b', 'c']);
 });
 
-test('a version that made no whole event is not named', async (t) => {
-  // The engine breaks off right after it changed versions; the event under the new one is cut.
+test('a version that generated no complete event is not listed', async (t) => {
+  // The engine fails right after a version change, and the event of the new version is truncated.
   const { progress } = await run([eventLine(1, 'a'), '[2,"b'], { end: 'broken' });
   t.deepEqual(progress.versions, [1]);
   t.deepEqual(progress.events, ['a']);
 });
 
-test('what there is of a broken text is kept, and the next run goes on after it', async (t) => {
-  // The engine crashes in the middle of a text. Made anew from the start, a long text would miss
-  // its step.
+test('an interrupted text is retained, and the next run resumes after it', async (t) => {
+  // The engine crashes in the middle of a text. Generated again from the start, a long text would
+  // miss its step.
   const first = await run([eventLine(1, 'a'), eventLine(2, 'b')], { end: 'broken' });
   t.is(first.outcome.type, 'interrupted');
   const second = await run([eventLine(3, 'c')], { progress: first.progress, version: 4 });
@@ -97,7 +97,7 @@
   t.deepEqual(second.progress.versions, [1, 4]);
 });
 
-test('an event that is missing or stands twice ends the run before it', async (t) => {
+test('a missing or duplicate event ends the run before it', async (t) => {
   const gap = await run([eventLine(1, 'a'), eventLine(3, 'c')]);
   t.is(gap.outcome.type, 'interrupted');
   t.deepEqual(gap.progress.events, ['a']);
@@ -107,14 +107,14 @@
   t.deepEqual(twice.progress.events, ['a']);
 });
 
-test('tokens of a version that is too old are not taken', async (t) => {
-  // The engine's entry said that it holds the new weights; its answer says otherwise.
-  const { outcome, progress } = await run([eventLine(1, 'a')], { least: 2, version: 1 });
+test('tokens of a version that is too old are not accepted', async (t) => {
+  // The engine's entry states the new weights, but its response states older ones.
+  const { outcome, progress } = await run([eventLine(1, 'a')], { minVersion: 2, version: 1 });
   t.is(outcome.type, 'interrupted');
   t.deepEqual(progress.events, []);
 });
 
-test('tokens without a version are not taken', async (t) => {
+test('tokens without a version are not accepted', async (t) => {
   const { outcome } = await run([eventLine(1, 'a')], { version: null });
   t.is(outcome.type, 'interrupted');
 });
--- a/scripts/ablate.js
+++ b/scripts/ablate.js
@@ -54,8 +54,8 @@
   ],
   'refusals remembered': [
     'packages/batches/src/newRefusals.ts',
-    'REFUSING_MS = 220',
-    'REFUSING_MS = 0',
+    'REFUSAL_BACKOFF_MS = 220',
+    'REFUSAL_BACKOFF_MS = 0',
   ],
   homes: [
     'packages/engines/src/planHomes.ts',
@@ -79,19 +79,19 @@
     'Math.floor(turns.length * TURN_PART * 0)',
   ],
   handovers: [
-    'packages/batches/src/newHandOver.ts',
+    'packages/batches/src/newHandoverSender.ts',
     'if (!handover) return;',
     'if (!handover || state.results.length >= 0) return;',
   ],
   'cut hosts leave': [
     'packages/batches/src/newCutWatch.ts',
-    '!isDone && clock.now() >= askAt',
+    '!isDone && clock.now() >= nextProbeAt',
     '!isDone && clock.now() < 0',
   ],
   'starts while the store is away': [
     'packages/batches/src/mayStartWork.ts',
-    'AWAY_MS = 7_000',
-    'AWAY_MS = 1_800',
+    'MAX_VIEW_AGE_IN_OUTAGE_MS = 7_000',
+    'MAX_VIEW_AGE_IN_OUTAGE_MS = 1_800',
   ],
   'strong hosts first': ['packages/hosts/src/rankHosts.ts', 'STRONG_PART = 0.5', 'STRONG_PART = 0'],
 };
