--- a/apps/cli/src/newLogSession.ts
+++ b/apps/cli/src/newLogSession.ts
@@ -42,7 +42,7 @@
       if (page.ok) {
         follower.ingest({ ...page.val, logFirst: 0, ageMs: 0 });
         const isAtEnd = follower.next() >= page.val.end;
-        if (isAtEnd && follower.isBridging())
+        if (isAtEnd && follower.isWaitingForCheckpoint())
           return Err('the log holds no checkpoint to start from');
         if (isAtEnd) return Ok(undefined);
       } else {
--- a/apps/control/src/newControl.ts
+++ b/apps/control/src/newControl.ts
@@ -1,4 +1,4 @@
-import type { Running } from '@cyclamengate/common/startProgram';
+import type { RunningProgram } from '@cyclamengate/common/startProgram';
 import { CHECKPOINT_LEASE, REPORTS_LEASE } from '@cyclamengate/coordination/leaseNames';
 import newDaemon from '@cyclamengate/coordination/newDaemon';
 import writeCheckpoints from '@cyclamengate/coordination/writeCheckpoints';
@@ -16,7 +16,7 @@
   const { follower, writer } = runtime;
   const domainTasks = newDomainTasks(daemon);
 
-  const start = async (): Promise<Running> => {
+  const start = async (): Promise<RunningProgram> => {
     await daemon.start();
     const reportsLease = runtime.startLease(REPORTS_LEASE);
     const checkpointLease = runtime.startLease(CHECKPOINT_LEASE);
--- a/apps/entry/src/newEntry.ts
+++ b/apps/entry/src/newEntry.ts
@@ -2,7 +2,7 @@
 import newDaemon from '@cyclamengate/coordination/newDaemon';
 import type { Daemon } from '@cyclamengate/coordination/newDaemon';
 import type { UsageDelta } from '@cyclamengate/coordination/usageRecords';
-import type { Running } from '@cyclamengate/common/startProgram';
+import type { RunningProgram } from '@cyclamengate/common/startProgram';
 import newHttpHostList from '@cyclamengate/platform/newHttpHostList';
 import newCallClaims from '@cyclamengate/routing/newCallClaims';
 import newChoice from '@cyclamengate/routing/newChoice';
@@ -15,8 +15,8 @@
 import newUpstreamDirectory from '@cyclamengate/upstreams/newUpstreamDirectory';
 import { watchHostList, watchLoads } from '@cyclamengate/upstreams/watchUpstreams';
 import newMeter from '@cyclamengate/usage/newMeter';
-import newUsageKeeper from '@cyclamengate/usage/newUsageKeeper';
-import type { UsageKeeper } from '@cyclamengate/usage/newUsageKeeper';
+import newUsageReplicaStore from '@cyclamengate/usage/newUsageReplicaStore';
+import type { UsageReplicaStore } from '@cyclamengate/usage/newUsageReplicaStore';
 import type { EntryDependencies } from './entryDependencies.js';
 import newAdmissions from './newAdmissions.js';
 import newCompletionHandler from './newCompletionHandler.js';
@@ -47,9 +47,9 @@
 
 /** The process that serves callers' requests. */
 const newEntry = (settings: HostSettings) => {
-  const usageKeeper: { current: UsageKeeper | null } = { current: null };
+  const usageKeeper: { current: UsageReplicaStore | null } = { current: null };
   const daemon = newDaemon(PROGRAM, 'entry', settings, {
-    keepUsage: (host, deltas) => usageKeeper.current?.keep(host, deltas),
+    keepUsage: (host, deltas) => usageKeeper.current?.store(host, deltas),
   });
   const { clock, metrics, tasks, runtime, log, app } = daemon;
   const { follower, writer, suspects } = runtime;
@@ -69,7 +69,7 @@
     windowMs: settings.usageWindowSeconds * 1_000,
     copy: newUsageReplicator(daemon),
   });
-  usageKeeper.current = newUsageKeeper({
+  usageKeeper.current = newUsageReplicaStore({
     clock,
     follower,
     writer,
@@ -111,7 +111,7 @@
     await daemon.stop();
   };
 
-  const start = async (): Promise<Running> => {
+  const start = async (): Promise<RunningProgram> => {
     await daemon.start();
     const hostList = newHttpHostList(settings.platform.hosts);
     tasks.start('host list', (signal) => watchHostList(clock, hostList, directory, signal));
--- a/apps/entry/src/newGate.ts
+++ b/apps/entry/src/newGate.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from 'node:http';
 import type Clock from '@cyclamengate/common/Clock';
 import type { HandlerRequest } from '@cyclamengate/common/handler';
-import { BODY_TIMEOUT_MS, LARGEST_BODY_BYTES } from '@cyclamengate/common/limits';
+import { BODY_TIMEOUT_MS, MAX_BODY_BYTES } from '@cyclamengate/common/limits';
 import newId from '@cyclamengate/common/newId';
 import { Err, Ok } from '@cyclamengate/common/outcome';
 import type { Result } from '@cyclamengate/common/outcome';
@@ -43,7 +43,7 @@
     clock.now() > runtime.follower.currentAt() + MAX_SETTINGS_AGE_MS;
 
   const readRequestBody = async (request: HandlerRequest): Promise<Result<Buffer, Refusal>> => {
-    const body = await readBody(request, LARGEST_BODY_BYTES, BODY_TIMEOUT_MS);
+    const body = await readBody(request, MAX_BODY_BYTES, BODY_TIMEOUT_MS);
     if (body.ok) return body;
     const code = body.val === 'too-large' || body.val === 'too-slow' ? body.val : 'bad-request';
     return Err(notRun(code, `body refused: ${body.val}`));
--- a/apps/entry/src/sendRefusal.ts
+++ b/apps/entry/src/sendRefusal.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from 'node:http';
 import { sendJson } from '@cyclamengate/common/handler';
-import sendLastJson from '@cyclamengate/common/sendLastJson';
+import sendJsonAndClose from '@cyclamengate/common/sendJsonAndClose';
 import { statusOf } from '@cyclamengate/routing/refusal';
 import type { Refusal } from '@cyclamengate/routing/refusal';
 
@@ -25,7 +25,7 @@
   requestId: string,
   now: number,
 ): void => {
-  const send = isBodyUnread(refusal) ? sendLastJson : sendJson;
+  const send = isBodyUnread(refusal) ? sendJsonAndClose : sendJson;
   send(response, statusOf(refusal), newRefusalBody(refusal, requestId), {
     'x-request-id': requestId,
     'x-outcome': refusal.outcome,
--- a/apps/host/src/followPlatform.ts
+++ b/apps/host/src/followPlatform.ts
@@ -71,7 +71,7 @@
     log,
     store,
     topic: OPERATOR_TOPIC,
-    readPaceMs: () => SETTINGS_READ_INTERVAL_MS,
+    readIntervalMs: () => SETTINGS_READ_INTERVAL_MS,
     apply: applyOperatorRecord,
   });
   const upstreamsFollower = newKeyedFollower({
@@ -79,9 +79,9 @@
     log,
     store,
     topic: UPSTREAMS_TOPIC,
-    readPaceMs: () => UPSTREAMS_READ_INTERVAL_MS * readIntervalFactor(),
+    readIntervalMs: () => UPSTREAMS_READ_INTERVAL_MS * readIntervalFactor(),
     apply: applyUpstream,
-    onBack: directory.storeIsBack,
+    onRecovered: directory.storeIsBack,
   });
 
   return {
--- a/apps/host/src/newBatchStore.ts
+++ b/apps/host/src/newBatchStore.ts
@@ -62,7 +62,7 @@
     log,
     store,
     topic: TOPIC,
-    readPaceMs: () => READ_INTERVAL_MS * readIntervalFactor(),
+    readIntervalMs: () => READ_INTERVAL_MS * readIntervalFactor(),
     apply: newRecordReader({ log, topic: TOPIC, schema: batchRecordSchema, apply: batches.apply }),
   });
   const writer = newStoreWriter({ clock, log, store, topic: TOPIC, producer: incarnation });
@@ -110,10 +110,16 @@
     topic: PARTS_TOPIC,
     producer: incarnation,
   });
-  const trimParts = newTrimmer({ clock, log, store, topic: PARTS_TOPIC, lifeMs: PART_LIFE_MS });
+  const trimParts = newTrimmer({
+    clock,
+    log,
+    store,
+    topic: PARTS_TOPIC,
+    retentionMs: PART_LIFE_MS,
+  });
 
   const writePart = async (part: Part, deadline: number): Promise<WriteOutcome> => {
-    const appended = await partWriter.place(encode(part), deadline);
+    const appended = await partWriter.writeWithOffset(encode(part), deadline);
     if (appended.offset !== null) trimParts(appended.offset);
     return appended.outcome;
   };
@@ -150,7 +156,7 @@
 
   const checkStoreAccess = async (): Promise<Touch> => {
     if (!(await follower.catchUp(clock.now() + CATCH_UP_TIMEOUT_MS))) return 'none';
-    return clock.now() > follower.steadySince() + MIN_STEADY_MS ? 'steady' : 'new';
+    return clock.now() > follower.lastOutageEndedAt() + MIN_STEADY_MS ? 'steady' : 'new';
   };
 
   return {
@@ -174,7 +180,7 @@
     run: follower.run,
     catchUp: follower.catchUp,
     freshAt: follower.freshAt,
-    isUnreachable: follower.isLost,
+    isUnreachable: follower.isUnavailable,
     write: (change: BatchChange, deadline: number): Promise<WriteOutcome> =>
       change.type === 'batch'
         ? writeBatch(change, null, deadline)
--- a/apps/host/src/newCallerHandler.ts
+++ b/apps/host/src/newCallerHandler.ts
@@ -7,7 +7,7 @@
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 import type { Metrics } from '@cyclamengate/common/newMetrics';
 import { readBody } from '@cyclamengate/common/readBody';
-import sendLastJson from '@cyclamengate/common/sendLastJson';
+import sendJsonAndClose from '@cyclamengate/common/sendJsonAndClose';
 import { findCaller, findRoute, pickService } from '@cyclamengate/gateway/findRoute';
 import type { EffectiveSettings } from '@cyclamengate/gateway/newSettingsView';
 import type { PlainRelay, RelayedRequest, RelayOutcome } from '@cyclamengate/gateway/newPlainRelay';
@@ -42,7 +42,7 @@
     metrics.count(`requests_refused_${refusal.code.replaceAll('-', '_')}`);
     const headers = refusalHeaders(request.requestId, refusal);
     // While draining, the connection is closed after the refusal, even if the body is incomplete.
-    const send = options.isLeaving() && !response.req.complete ? sendLastJson : sendJson;
+    const send = options.isLeaving() && !response.req.complete ? sendJsonAndClose : sendJson;
     send(response, refusal.status, { error: refusal.code }, headers);
   };
 
--- a/apps/host/src/newCoordination.ts
+++ b/apps/host/src/newCoordination.ts
@@ -79,7 +79,7 @@
   const applyRecord = (record: CoordinationRecord, offset: number): void => {
     switch (record.type) {
       case 'heartbeat':
-        if (!heartbeatOrder.isNews(record)) {
+        if (!heartbeatOrder.recordIfNewer(record)) {
           log.info('heartbeat.late', { of: record.host, isLeaving: record.isLeaving, offset });
           return;
         }
@@ -111,14 +111,14 @@
     log,
     store,
     topic: TOPIC,
-    readPaceMs: () => READ_INTERVAL_MS * readIntervalFactor(),
+    readIntervalMs: () => READ_INTERVAL_MS * readIntervalFactor(),
     apply: newRecordReader({
       log,
       topic: TOPIC,
       schema: coordinationRecordSchema,
       apply: applyRecord,
     }),
-    onWhole: members.noteView,
+    onCaughtUp: members.advanceView,
   });
   const writer = newStoreWriter({ clock, log, store, topic: TOPIC, producer: incarnation });
 
@@ -140,8 +140,8 @@
       cores,
       isLeaving: isLeaving(),
       running: readRunningCounts(),
-      usage: meter.recent(),
-      countedThrough: meter.windowNow() - 1,
+      usage: meter.recentWindows(),
+      countedThrough: meter.currentWindow() - 1,
     };
   };
 
--- a/apps/host/src/newHost.ts
+++ b/apps/host/src/newHost.ts
@@ -14,7 +14,7 @@
 import newMetrics from '@cyclamengate/common/newMetrics';
 import newSystemClock from '@cyclamengate/common/newSystemClock';
 import newTaskGroup from '@cyclamengate/common/newTaskGroup';
-import type { Running } from '@cyclamengate/common/startProgram';
+import type { RunningProgram } from '@cyclamengate/common/startProgram';
 import newAllowedLags from '@cyclamengate/engines/newAllowedLags';
 import newDirectory from '@cyclamengate/engines/newDirectory';
 import newHealth from '@cyclamengate/engines/newHealth';
@@ -112,7 +112,7 @@
     clock,
     log,
     failureDomain,
-    readPeers: () => coordination.members.lately().filter((member) => member.host !== host),
+    readPeers: () => coordination.members.recentMembers().filter((member) => member.host !== host),
     self: { host, cores, address: settings.listen.peers },
     rank: ({ id, model }, hosts) => rankHosts(`batches/${model ?? id}`, hosts),
     beginHere: peerService.begin,
@@ -276,7 +276,7 @@
     close: servers.close,
   });
 
-  const start = async (): Promise<Running> => {
+  const start = async (): Promise<RunningProgram> => {
     const { address, listen } = settings;
     log.info('process.started', { incarnation, failureDomain, address, listen });
     // Without a handler SIGHUP would terminate the process; the host's own settings are not reloaded.
--- a/apps/platform-standin/src/newPlatform.ts
+++ b/apps/platform-standin/src/newPlatform.ts
@@ -1,4 +1,4 @@
-import newMemoryStore, { keyedBody } from '@cyclamengate/store/newMemoryStore';
+import newMemoryStore, { encodeKeyedBody } from '@cyclamengate/store/newMemoryStore';
 import listenOnLoopback from './listenOnLoopback.js';
 import newEngineServer from './newEngineServer.js';
 import type { EngineServer } from './newEngineServer.js';
@@ -97,7 +97,7 @@
 
   const putServerEntry = (id: string, fields: Record<string, unknown>): void => {
     const entry = { version: 'v1', state: 'ready', 'cold-remaining-ms': 0, born: 1, ...fields };
-    memory.put('keyed.servers', [keyedBody(id, JSON.stringify(entry))]);
+    memory.put('keyed.servers', [encodeKeyedBody(id, JSON.stringify(entry))]);
   };
 
   const putServerEntries = (): void => {
@@ -118,7 +118,7 @@
   };
 
   const publish = (key: string, value: unknown): number =>
-    memory.put('keyed.op', [keyedBody(key, JSON.stringify(value))]);
+    memory.put('keyed.op', [encodeKeyedBody(key, JSON.stringify(value))]);
 
   putServerEntries();
   const timer = setInterval(putServerEntries, HEARTBEAT_INTERVAL_MS);
--- a/apps/rollout/src/newRollout.ts
+++ b/apps/rollout/src/newRollout.ts
@@ -1,5 +1,5 @@
 import { handler } from '@cyclamengate/common/handler';
-import type { Running } from '@cyclamengate/common/startProgram';
+import type { RunningProgram } from '@cyclamengate/common/startProgram';
 import newDaemon from '@cyclamengate/coordination/newDaemon';
 import newEntrySampleMaker from '@cyclamengate/rollouts/newEntrySampleMaker';
 import newPayloadCopies from '@cyclamengate/rollouts/newPayloadCopies';
@@ -17,7 +17,7 @@
 const newRollout = (settings: HostSettings) => {
   const store = newPayloadStore();
   const daemon = newDaemon(PROGRAM, 'rollout', settings, {
-    keepPayload: store.keep,
+    keepPayload: store.put,
     readPayload: store.read,
   });
   const { clock, log, metrics, runtime, app } = daemon;
@@ -28,7 +28,7 @@
     self,
     others: () => membership.others().filter(({ role }) => role === 'rollout'),
     peerAt,
-    isSettled: () => clock.now() >= peersKnownAt,
+    arePeersKnown: () => clock.now() >= peersKnownAt,
   });
 
   /**
@@ -72,7 +72,7 @@
     await daemon.stop();
   };
 
-  const start = async (): Promise<Running> => {
+  const start = async (): Promise<RunningProgram> => {
     await daemon.start();
     return { drain };
   };
--- a/apps/rollout/src/newTrainerHandlers.ts
+++ b/apps/rollout/src/newTrainerHandlers.ts
@@ -1,7 +1,7 @@
 import type { IncomingHttpHeaders, ServerResponse } from 'node:http';
 import { sendJson } from '@cyclamengate/common/handler';
 import type { HandlerRequest } from '@cyclamengate/common/handler';
-import { BODY_TIMEOUT_MS, LARGEST_BODY_BYTES } from '@cyclamengate/common/limits';
+import { BODY_TIMEOUT_MS, MAX_BODY_BYTES } from '@cyclamengate/common/limits';
 import { Err, Ok } from '@cyclamengate/common/outcome';
 import type { Result } from '@cyclamengate/common/outcome';
 import { parseJson, readBody } from '@cyclamengate/common/readBody';
@@ -72,7 +72,7 @@
     request: HandlerRequest,
     schema: z.ZodType<T>,
   ): Promise<Result<T, TrainerFault>> => {
-    const body = await readBody(request, LARGEST_BODY_BYTES, BODY_TIMEOUT_MS);
+    const body = await readBody(request, MAX_BODY_BYTES, BODY_TIMEOUT_MS);
     const raw = body.ok ? parseJson(body.val.toString()) : null;
     if (!raw?.ok) return newFault(400, 'the body is not JSON within its limits');
     const restored = restore(schema, raw.val);
--- a/apps/standin/src/withFaults.ts
+++ b/apps/standin/src/withFaults.ts
@@ -2,13 +2,13 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { handler, sendJson } from '@cyclamengate/common/handler';
 import type { HandlerRequest } from '@cyclamengate/common/handler';
-import { LARGEST_BODY_BYTES } from '@cyclamengate/common/limits';
+import { MAX_BODY_BYTES } from '@cyclamengate/common/limits';
 import { parseJson, readBody } from '@cyclamengate/common/readBody';
 import { formatProblems, restore } from '@cyclamengate/common/restore';
 import type { ZodType } from 'zod';
 import type { FaultSwitches } from './faultSwitches.js';
 
-const MAX_BODY_BYTES = LARGEST_BODY_BYTES * 16;
+const MAX_STANDIN_BODY_BYTES = MAX_BODY_BYTES * 16;
 const BODY_TIMEOUT_MS = 10_000;
 
 /** A stand-in's response: a status and a JSON value. */
@@ -27,7 +27,7 @@
   response: ServerResponse,
   schema: ZodType<T>,
 ): Promise<T | null> => {
-  const body = await readBody(request, MAX_BODY_BYTES, BODY_TIMEOUT_MS);
+  const body = await readBody(request, MAX_STANDIN_BODY_BYTES, BODY_TIMEOUT_MS);
   const raw = body.ok ? parseJson(body.val.toString()) : null;
   const restored = raw?.ok ? restore(schema, raw.val) : null;
   if (restored?.ok) return restored.val;
--- a/packages/batches/src/newBatchKeeper.ts
+++ b/packages/batches/src/newBatchKeeper.ts
@@ -1,6 +1,6 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
-import within from '@cyclamengate/common/within';
+import withDeadline from '@cyclamengate/common/withDeadline';
 import type { WriteOutcome } from '@cyclamengate/store/newStoreWriter';
 import type { Batch, BatchChange } from './batchRecord.js';
 
@@ -47,14 +47,14 @@
 
   const keep = async (record: BatchChange, deadline: number): Promise<WriteOutcome> => {
     const ownWrite = write(record, deadline);
-    const ownOutcome = await within(
+    const ownOutcome = await withDeadline(
       clock,
       ownWrite,
       Math.min(deadline, clock.now() + ASK_PEERS_AFTER_MS),
     );
     if (ownOutcome === 'written') return ownOutcome;
     const peers = askPeers(record);
-    const peerOutcome = await within(clock, peers, clock.now() + BEGIN_AFTER_MS);
+    const peerOutcome = await withDeadline(clock, peers, clock.now() + BEGIN_AFTER_MS);
     if (peerOutcome === 'written') return peerOutcome;
     const isBegun = beginUnstored(record);
     const outcomes = await Promise.all([ownWrite, peerOutcome ?? peers]);
--- a/packages/batches/src/newTextReader.ts
+++ b/packages/batches/src/newTextReader.ts
@@ -1,6 +1,6 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
-import within from '@cyclamengate/common/within';
+import withDeadline from '@cyclamengate/common/withDeadline';
 import type Store from '@cyclamengate/store/Store';
 import type { StoreFault } from '@cyclamengate/store/storeFault';
 import type { TextPlace } from './batchRecord.js';
@@ -132,7 +132,7 @@
     if (clock.now() >= until) return { type: 'over', fault: 'late' };
     state.reads += 1;
     const abandoned = new AbortController();
-    const outcome = await within(
+    const outcome = await withDeadline(
       clock,
       readPage(state, first, abandoned.signal),
       until + CALL_GRACE_MS,
--- a/packages/batches/src/newTexts.ts
+++ b/packages/batches/src/newTexts.ts
@@ -54,7 +54,7 @@
   ): Promise<TextPlace | null> => {
     const topic = topicForBatch(batch);
     const pieces = splitText(text);
-    const { offset } = await getWriter(topic).place(pieces, deadline);
+    const { offset } = await getWriter(topic).writeWithOffset(pieces, deadline);
     if (offset === null) return null;
     pieces.forEach((piece, index) => cache.put(topic, offset + index, piece));
     const bytes = pieces.reduce((sum, piece) => sum + piece.length, 0);
--- a/packages/batches/tests/newSlowStore.ts
+++ b/packages/batches/tests/newSlowStore.ts
@@ -57,8 +57,8 @@
       return store.newest(topic, signal);
     }
 
-    keyed(record: StoredRecord): KeyedRecord {
-      return store.keyed(record);
+    parseKeyed(record: StoredRecord): KeyedRecord {
+      return store.parseKeyed(record);
     }
   }
   return new SlowStore();
--- a/packages/batches/tests/newTexts.test.ts
+++ b/packages/batches/tests/newTexts.test.ts
@@ -98,7 +98,7 @@
   // Each call has a cost, and a retry storm takes capacity that other hosts need.
   const { clock, writer, reader } = newHosts();
   const place = await writer.texts.write('b', 'text', clock.now() + 1_000);
-  reader.faults.isSilent = true;
+  reader.faults.isUnresponsive = true;
   t.deepEqual(await advanceUntilSettled(clock, reader.texts.read([place], clock.now() + 400)), []);
   t.deepEqual(reader.unread, ['unknown']);
   t.is(reader.failedReads(), 3);
@@ -132,7 +132,7 @@
   // The response to the append is lost, and so is that to its retry. A result with a guessed
   // location would return another item's text.
   const { clock, writer } = newHosts();
-  writer.faults.isSilent = true;
+  writer.faults.isUnresponsive = true;
   const placed = writer.texts.write('b', 'text', clock.now() + 500);
   await clock.advance(1_000);
   t.is(await placed, null);
--- a/packages/common/src/limits.ts
+++ b/packages/common/src/limits.ts
@@ -1,8 +1,8 @@
 /** Limits shared by several programs. */
 
 /** Maximum size of a request body; larger ones are refused. */
-export const LARGEST_BODY_BYTES = 1_048_576;
+export const MAX_BODY_BYTES = 1_048_576;
 /** Maximum size of all headers of a request together. */
-export const LARGEST_HEADERS_BYTES = 16_384;
+export const MAX_HEADERS_BYTES = 16_384;
 /** Time within which a sender must have sent its complete body. */
 export const BODY_TIMEOUT_MS = 10_000;
--- a/packages/common/src/newMetrics.ts
+++ b/packages/common/src/newMetrics.ts
@@ -34,7 +34,7 @@
     count: (name: string, by = 1): void => {
       counters.set(name, (counters.get(name) ?? 0) + by);
     },
-    counted: (name: string): number => counters.get(name) ?? 0,
+    readCounter: (name: string): number => counters.get(name) ?? 0,
     gauge: (name: string, read: () => number): void => {
       gauges.set(name, read);
     },
--- a/packages/common/src/sendLastJson.ts
+++ b/packages/common/src/sendJsonAndClose.ts
@@ -9,7 +9,7 @@
  * get EPIPE instead of the answer, so the close waits until the sender has finished. The request's
  * stream must be in flowing mode.
  */
-const sendLastJson = (
+const sendJsonAndClose = (
   response: ServerResponse,
   status: number,
   body: unknown,
@@ -36,4 +36,4 @@
   });
 };
 
-export default sendLastJson;
+export default sendJsonAndClose;
--- a/packages/common/src/startProgram.ts
+++ b/packages/common/src/startProgram.ts
@@ -5,7 +5,7 @@
 export const EXIT_MISUSED = 2;
 
 /** A started program that signals can stop. */
-export interface Running {
+export interface RunningProgram {
   /** Stops accepting work and resolves once the running work has finished. */
   drain: () => Promise<void>;
 }
@@ -41,7 +41,7 @@
   return process.exit(EXIT_MISUSED);
 };
 
-const handleSignals = (running: Running): void => {
+const handleSignals = (running: RunningProgram): void => {
   let isDraining = false;
   const onSignal = (): void => {
     if (isDraining) process.exit(EXIT_FAILED);
@@ -58,7 +58,7 @@
 /** Runs a daemon: parses its flags, starts it, handles signals and sets the exit status. */
 const startProgram = async (
   program: string,
-  start: (settingsPath: string) => Promise<Running | string>,
+  start: (settingsPath: string) => Promise<RunningProgram | string>,
 ): Promise<void> => {
   const running = await start(readSettingsPath(program));
   if (typeof running === 'string') {
--- a/packages/common/src/within.ts
+++ b/packages/common/src/withDeadline.ts
@@ -4,7 +4,7 @@
  * Waits for a promise until a deadline on the clock's monotonic time. Returns null at the deadline;
  * the work behind the promise is not cancelled.
  */
-const within = async <T>(
+const withDeadline = async <T>(
   clock: Clock,
   promise: Promise<T>,
   deadline: number,
@@ -16,4 +16,4 @@
   return first;
 };
 
-export default within;
+export default withDeadline;
--- a/packages/coordination/src/followLog.ts
+++ b/packages/coordination/src/followLog.ts
@@ -56,7 +56,7 @@
     const page = await source.read(before, signal);
     if (!page.ok) return false;
     follower.ingest(page.val);
-    const needsSnapshot = follower.isBridging() || page.val.first > follower.next();
+    const needsSnapshot = follower.isWaitingForCheckpoint() || page.val.first > follower.next();
     const state = needsSnapshot ? await source.snapshot(signal) : null;
     if (state) follower.load(state);
     if (follower.next() === before) avoidIfStalled(source);
--- a/packages/coordination/src/newDaemon.ts
+++ b/packages/coordination/src/newDaemon.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http';
 import type Clock from '@cyclamengate/common/Clock';
 import { handler, sendJson } from '@cyclamengate/common/handler';
-import { LARGEST_HEADERS_BYTES } from '@cyclamengate/common/limits';
+import { MAX_HEADERS_BYTES } from '@cyclamengate/common/limits';
 import newLogger from '@cyclamengate/common/newLogger';
 import type { Log } from '@cyclamengate/common/newLogger';
 import newMetrics from '@cyclamengate/common/newMetrics';
@@ -71,7 +71,7 @@
 
   const isReady = (): boolean =>
     !runtime.self.isLeaving &&
-    !runtime.follower.isBridging() &&
+    !runtime.follower.isWaitingForCheckpoint() &&
     runtime.follower.state().offset >= 0;
 
   metrics.gauge('settings_offset', () => runtime.follower.state().offset);
@@ -102,7 +102,7 @@
     }),
   );
   const server = createServer(
-    { maxHeaderSize: LARGEST_HEADERS_BYTES, headersTimeout: HEADERS_TIMEOUT_MS },
+    { maxHeaderSize: MAX_HEADERS_BYTES, headersTimeout: HEADERS_TIMEOUT_MS },
     (request, response) => {
       app.handler(request as never, response);
     },
--- a/packages/coordination/src/newFollower.ts
+++ b/packages/coordination/src/newFollower.ts
@@ -123,7 +123,7 @@
     state: fold.state,
     /** The offset to read from next. */
     next: nextOffset,
-    isBridging: (): boolean => pending.length > 0,
+    isWaitingForCheckpoint: (): boolean => pending.length > 0,
     /** When this state was last known to match the end of the log, on the monotonic clock. */
     currentAt: (): number => currentAt,
     /** The oldest offset that the log retains, as far as this host knows. */
--- a/packages/coordination/src/newLease.ts
+++ b/packages/coordination/src/newLease.ts
@@ -32,7 +32,7 @@
 }
 
 /** Whether the lease is still held in the same tenure, for at least the given time. */
-export const isSameHold = (lease: Lease, before: HeldLease, neededMs: number): boolean =>
+export const isStillHeld = (lease: Lease, before: HeldLease, neededMs: number): boolean =>
   lease.holdFor(neededMs)?.fence === before.fence;
 
 export interface LeaseOptions {
@@ -43,7 +43,7 @@
   /** Unique to this run of the process: a restarted process is another holder. */
   holder: string;
   /** Delay before claiming a free lease, so that preferred hosts claim first, in milliseconds. */
-  deferMs: () => number;
+  claimDelayMs: () => number;
 }
 
 /**
@@ -55,7 +55,7 @@
  * monotonic clock. The term therefore always ends first in the holder's view.
  */
 export const newLease = (options: LeaseOptions): Lease => {
-  const { clock, follower, writer, name, holder, deferMs } = options;
+  const { clock, follower, writer, name, holder, claimDelayMs } = options;
   const sentAt = new Map<string, number>();
   let held: HeldLease | null = null;
   let readAt = clock.now();
@@ -98,9 +98,9 @@
 
   const isFree = (): boolean => {
     const lease = currentState();
-    if (!lease || lease.holder === '') return clock.now() >= readAt + deferMs();
+    if (!lease || lease.holder === '') return clock.now() >= readAt + claimDelayMs();
     if (lease.holder === holder) return true;
-    return clock.now() >= readAt + LEASE_TERM_MS + LEASE_MARGIN_MS + deferMs();
+    return clock.now() >= readAt + LEASE_TERM_MS + LEASE_MARGIN_MS + claimDelayMs();
   };
 
   const isDueForRenewal = (): boolean =>
--- a/packages/coordination/src/newRuntime.ts
+++ b/packages/coordination/src/newRuntime.ts
@@ -115,7 +115,7 @@
 
   const buildExchange = (): Exchange => ({
     members: membership.membersToSend(),
-    suspects: suspects.tell(),
+    suspects: suspects.suspectsToSend(),
   });
   const applyExchange = (received: Exchange): void => {
     // Peers may know higher heartbeats of a previous incarnation whose wall clock was ahead.
@@ -200,7 +200,7 @@
       writer,
       name,
       holder: incarnation,
-      deferMs: () => claimDelayMs(name, preferredDomain),
+      claimDelayMs: () => claimDelayMs(name, preferredDomain),
     });
     tasks.start(`lease ${name}`, lease.run);
     return lease;
--- a/packages/coordination/src/newSuspects.ts
+++ b/packages/coordination/src/newSuspects.ts
@@ -30,7 +30,7 @@
           .filter((upstream) => !known?.has(upstream))
           .forEach((upstream) => add(digest, upstream));
       }),
-    tell: (): Suspect[] =>
+    suspectsToSend: (): Suspect[] =>
       [...upstreamsByDigest]
         .slice(-MAX_SUSPECTS_PER_EXCHANGE)
         .map(([digest, upstreams]) => ({ digest, upstreams: [...upstreams] })),
--- a/packages/coordination/tests/newLease.test.ts
+++ b/packages/coordination/tests/newLease.test.ts
@@ -30,7 +30,7 @@
     writer,
     name: LEASE,
     holder,
-    deferMs: () => deferMs,
+    claimDelayMs: () => deferMs,
   });
   const { signal } = new AbortController();
   let isReadPaused = false;
--- a/packages/hosts/src/newHeartbeatOrder.ts
+++ b/packages/hosts/src/newHeartbeatOrder.ts
@@ -43,7 +43,7 @@
     return true;
   };
 
-  return { isNews: recordIfNewer };
+  return { recordIfNewer };
 };
 
 export default newHeartbeatOrder;
--- a/packages/hosts/src/newMembers.ts
+++ b/packages/hosts/src/newMembers.ts
@@ -111,14 +111,14 @@
 
   return {
     apply,
-    noteView: advanceView,
+    advanceView,
     /** Live hosts that accept work, sorted by name; the same array while they are unchanged. */
     live: (): Member[] => {
       if (!cachedLive || currentViewTime() >= cachedLive.validUntil) cachedLive = computeLive();
       return cachedLive.value;
     },
     /** Hosts with a recent heartbeat, including those read before an outage of the store. */
-    lately: (): Member[] =>
+    recentMembers: (): Member[] =>
       [...knownHosts.values()]
         .filter(({ deadline }) => clock.now() < deadline + RECENT_HOST_RETENTION_MS)
         .map(({ heartbeat }) => heartbeat)
--- a/packages/hosts/src/newUsageMeter.ts
+++ b/packages/hosts/src/newUsageMeter.ts
@@ -11,7 +11,7 @@
   const windowAt = (wallTime: number): number => Math.floor(wallTime / windowMs);
 
   return {
-    windowNow: (): number => windowAt(clock.wallTime()),
+    currentWindow: (): number => windowAt(clock.wallTime()),
     /** @param beganAt wall time at which the request was sent to its upstream */
     count: (customer: string, beganAt: number): void => {
       const window = windowAt(beganAt);
@@ -20,7 +20,7 @@
       windows.set(window, counts);
     },
     /** Counts of the newest windows; older ones are evicted. */
-    recent: (): Record<string, UsageCounts> => {
+    recentWindows: (): Record<string, UsageCounts> => {
       const oldest = windowAt(clock.wallTime()) - REPEATED_WINDOWS;
       [...windows.keys()]
         .filter((window) => window < oldest)
--- a/packages/hosts/tests/newMembers.test.ts
+++ b/packages/hosts/tests/newMembers.test.ts
@@ -25,7 +25,7 @@
   const members = newMembers(clock, 'a', () => HEARTBEAT_LIFETIME_MS);
   const beat = (...hosts: string[]): void => {
     hosts.forEach((host) => members.apply(newHeartbeat(host)));
-    members.noteView(clock.now());
+    members.advanceView(clock.now());
   };
   const live = (): string =>
     members
@@ -53,7 +53,7 @@
   const { clock, members, beat, live } = newParts();
   beat('a', 'b');
   await clock.advance(400);
-  members.noteView(clock.now());
+  members.advanceView(clock.now());
   await clock.advance(1_500);
   t.is(live(), 'a b');
 });
@@ -64,7 +64,7 @@
   const { clock, members, beat, live } = newParts();
   beat('a', 'b');
   await clock.advance(6_000);
-  members.noteView(clock.now());
+  members.advanceView(clock.now());
   t.is(live(), 'a b');
   await clock.advance(900);
   beat('a');
@@ -87,7 +87,7 @@
   const { clock, members } = newParts();
   members.apply(newHeartbeat('a', { running: { engine: 5 } }));
   members.apply(newHeartbeat('b', { running: { engine: 7 } }));
-  members.noteView(clock.now());
+  members.advanceView(clock.now());
   t.deepEqual([...members.runningElsewhere()], [['engine', 7]]);
   await clock.advance(1_700);
   t.deepEqual([...members.runningElsewhere()], []);
--- a/packages/rollouts/src/newPayloadCopies.ts
+++ b/packages/rollouts/src/newPayloadCopies.ts
@@ -14,11 +14,11 @@
   others: () => Member[];
   peerAt: (url: string) => Peer;
   /** Whether this process has run long enough to know its peers. */
-  isSettled: () => boolean;
+  arePeersKnown: () => boolean;
 }
 
 /** Stores each payload on two hosts, in different failure domains if possible. */
-const newPayloadCopies = ({ store, self, others, peerAt, isSettled }: PayloadCopiesOptions) => {
+const newPayloadCopies = ({ store, self, others, peerAt, arePeersKnown }: PayloadCopiesOptions) => {
   const otherDomainsFirst = (): Member[] =>
     others().sort(
       (left, right) =>
@@ -36,7 +36,7 @@
 
   /** @returns the ids of the hosts that store the payload */
   const replicate = async (payloadDigest: string, payload: string): Promise<string[]> => {
-    store.keep(payloadDigest, payload);
+    store.put(payloadDigest, payload);
     const copy = await copyToOnePeer(payloadDigest, payload);
     return copy ? [self.id, copy.id] : [self.id];
   };
@@ -47,7 +47,7 @@
   ): Promise<Result<string, ReadPayloadFault>> => {
     const payload = await peerAt(member.peerUrl).readPayload(payloadDigest);
     if (!payload.ok) return Err('unreachable');
-    if (payload.val === null || !store.keep(payloadDigest, payload.val)) return Err('missing');
+    if (payload.val === null || !store.put(payloadDigest, payload.val)) return Err('missing');
     return Ok(payload.val);
   };
 
@@ -64,7 +64,7 @@
     const local = store.read(payloadDigest);
     if (local) return Ok(local);
     const liveHolders = others().filter(({ id }) => holders.includes(id));
-    let isCertain = isSettled();
+    let isCertain = arePeersKnown();
     for (const member of liveHolders) {
       const payload = await fetchFrom(member, payloadDigest);
       if (payload.ok) return payload;
--- a/packages/rollouts/src/newPayloadStore.ts
+++ b/packages/rollouts/src/newPayloadStore.ts
@@ -20,7 +20,7 @@
 
   return {
     /** @returns whether the payload was stored; false if it does not match its digest */
-    keep: (payloadDigest: string, payload: string): boolean => {
+    put: (payloadDigest: string, payload: string): boolean => {
       if (digest(payload) !== payloadDigest) return false;
       if (payloads.has(payloadDigest)) return true;
       payloads.set(payloadDigest, payload);
--- a/packages/rollouts/src/rolloutWeights.ts
+++ b/packages/rollouts/src/rolloutWeights.ts
@@ -2,7 +2,7 @@
 import type { Log } from '@cyclamengate/common/newLogger';
 import type { Metrics } from '@cyclamengate/common/newMetrics';
 import type { Follower } from '@cyclamengate/coordination/newFollower';
-import { isSameHold } from '@cyclamengate/coordination/newLease';
+import { isStillHeld } from '@cyclamengate/coordination/newLease';
 import type { Lease } from '@cyclamengate/coordination/newLease';
 import type { UpstreamStatus } from '@cyclamengate/platform/upstreamStatus';
 import type { EffectiveSettings } from '@cyclamengate/settings/newEffectiveSettings';
@@ -80,7 +80,7 @@
     if (!held) return;
     const wanted = { trainer, version, fence: held.fence };
     const accepted = await engine.orderWeights(upstream.url, wanted, () =>
-      isSameHold(lease, held, LEASE_MARGIN_MS),
+      isStillHeld(lease, held, LEASE_MARGIN_MS),
     );
     metrics.count(accepted.ok ? 'weight_orders_taken' : 'weight_orders_failed');
     log.info({
--- a/packages/rollouts/tests/rolloutBench.ts
+++ b/packages/rollouts/tests/rolloutBench.ts
@@ -109,10 +109,10 @@
       peerAt: (url) =>
         ({
           keepPayload: async (digest: string, payload: string) =>
-            Ok(stores.get(url)?.keep(digest, payload) ?? false),
+            Ok(stores.get(url)?.put(digest, payload) ?? false),
           readPayload: async (digest: string) => Ok(stores.get(url)?.read(digest) ?? null),
         }) as unknown as Peer,
-      isSettled: () => settled.has(id),
+      arePeersKnown: () => settled.has(id),
     });
     const maker = new FakeMaker(clock, id);
     const runner = newStepRunner({
--- a/packages/rollouts/tests/rollouts.test.ts
+++ b/packages/rollouts/tests/rollouts.test.ts
@@ -61,7 +61,7 @@
   await clock.advance(200);
   const page = await readPage(clock, fresh, 0);
   t.true(page.ok && page.val.payloads.length === 0 && !page.val.isComplete);
-  t.is(fresh.metrics.counted('samples_released_lost'), 0);
+  t.is(fresh.metrics.readCounter('samples_released_lost'), 0);
   t.is(fresh.follower.state().trainers.tone?.steps[1]?.offered, 0);
 });
 
@@ -145,6 +145,6 @@
   await clock.advance(3_000);
   const page = await readPage(clock, one, 0);
   t.true(page.ok && page.val.isComplete);
-  t.is(one.metrics.counted('samples_late_copies'), 2);
+  t.is(one.metrics.readCounter('samples_late_copies'), 2);
   t.is(one.maker.made, 10);
 });
--- a/packages/routing/src/newGenerationRelay.ts
+++ b/packages/routing/src/newGenerationRelay.ts
@@ -62,14 +62,14 @@
     onToken: (token: TokenEvent) => Promise<void>,
     signal: AbortSignal,
   ): Promise<Result<EndEvent, UpstreamFault>> => {
-    directory.begin(upstream);
+    directory.recordStart(upstream);
     const generation = { ...progress.generation, prefix: [...progress.tokens] };
     const relay = async (token: TokenEvent): Promise<void> => {
       progress.tokens.push(token.text);
       await onToken(token);
     };
     const answer = await engine.generate(upstream.status.url, generation, relay, signal);
-    directory.end(upstream);
+    directory.recordEnd(upstream);
     return answer;
   };
 
@@ -79,7 +79,7 @@
     fault: UpstreamFault,
     requestDigest: string,
   ): Promise<FailureCause> => {
-    directory.fail(upstream);
+    directory.recordFailure(upstream);
     if (isNotRun(fault)) return 'unclear';
     const cause = await findFailureCause(engine, directory, upstream);
     if (cause === 'died') suspects.add(requestDigest, upstream.status.id);
@@ -136,7 +136,7 @@
       progress.tried.add(upstream.status.id);
       const answer = await attempt(upstream, progress, onToken, signal);
       if (answer.ok) {
-        directory.succeed(upstream);
+        directory.recordSuccess(upstream);
         return Ok(answer.val);
       }
       progress.mayHaveRun ||= !isNotRun(answer.val);
--- a/packages/routing/src/newServiceRelay.ts
+++ b/packages/routing/src/newServiceRelay.ts
@@ -59,16 +59,16 @@
         canResume: false,
       });
       if (!upstream) break;
-      directory.begin(upstream);
+      directory.recordStart(upstream);
       const answer = await plain.call(upstream.status.url, call, !mayRepeat, signal);
-      directory.end(upstream);
+      directory.recordEnd(upstream);
       if (answer.ok) {
-        directory.succeed(upstream);
+        directory.recordSuccess(upstream);
         return Ok(answer.val);
       }
       lastFault = answer.val;
       mayHaveRun ||= !isNotRun(lastFault);
-      if (lastFault !== 'cancelled') directory.fail(upstream);
+      if (lastFault !== 'cancelled') directory.recordFailure(upstream);
       if (lastFault === 'cancelled' || (mayHaveRun && !mayRepeat)) break;
     }
     return Err(buildRefusal(lastFault, mayHaveRun, now()));
--- a/packages/routing/tests/newGenerationRelay.test.ts
+++ b/packages/routing/tests/newGenerationRelay.test.ts
@@ -76,7 +76,7 @@
 
   const flaky = newTestRelay({ a: [fails('broken', 1)], b: [fails('silent', 1)], c: [completes] });
   t.true((await flaky.ask('innocent')).answer.ok);
-  t.deepEqual(flaky.suspects.tell(), []);
+  t.deepEqual(flaky.suspects.suspectsToSend(), []);
 });
 
 // All upstreams fail under load. If every request were sent to four of them, load would quadruple.
@@ -86,7 +86,7 @@
     b: [fails('refused')],
   });
   for (let count = 0; count < 40; count += 1) {
-    directory.all().forEach((upstream) => directory.succeed(upstream));
+    directory.all().forEach((upstream) => directory.recordSuccess(upstream));
     await ask(`request ${count}`);
   }
   t.true(engine.calls.length <= 40 * 1.1 + 6, `${engine.calls.length} attempts for 40 requests`);
@@ -99,7 +99,7 @@
   const [reclaimed] = directory.all();
   for (let count = 0; count < 12; count += 1) {
     reclaimed!.status = { ...reclaimed!.status, state: 'live' };
-    directory.succeed(reclaimed!);
+    directory.recordSuccess(reclaimed!);
     const asking = ask(`request ${count}`);
     reclaimed!.status = { ...reclaimed!.status, state: 'leaving' };
     const { answer, tokens } = await asking;
--- a/packages/routing/tests/relayHelpers.ts
+++ b/packages/routing/tests/relayHelpers.ts
@@ -74,7 +74,7 @@
   const engine = new ScriptedEngine(new Map(Object.entries(scripts)));
   const directory = newUpstreamDirectory(clock, () => settings);
   const list = (reclaimed = false) =>
-    directory.list(
+    directory.applyListing(
       Object.keys(scripts).map((url) => ({
         id: url,
         service: 'tone',
--- a/packages/store/src/Store.ts
+++ b/packages/store/src/Store.ts
@@ -70,5 +70,5 @@
   abstract newest(topic: string, signal?: AbortSignal): Promise<Result<KeyedSnapshot, StoreFault>>;
 
   /** Splits a record of a keyed topic into its key and value. */
-  abstract keyed(record: StoredRecord): KeyedRecord;
+  abstract parseKeyed(record: StoredRecord): KeyedRecord;
 }
--- a/packages/store/src/newKeyedFollower.ts
+++ b/packages/store/src/newKeyedFollower.ts
@@ -12,11 +12,11 @@
   store: Store;
   topic: string;
   /** Minimum time between two reads, in milliseconds. */
-  readPaceMs: () => number;
+  readIntervalMs: () => number;
   /** Called with each newer record of a key; a null value means that the key was deleted. */
   apply: (record: KeyedRecord) => void;
   /** Called when a read succeeds after failed reads. */
-  onBack?: () => void;
+  onRecovered?: () => void;
 }
 
 /**
@@ -28,7 +28,7 @@
  * deleted.
  */
 const newKeyedFollower = (options: KeyedFollowerOptions) => {
-  const { clock, log, store, topic, readPaceMs, apply, onBack } = options;
+  const { clock, log, store, topic, readIntervalMs, apply, onRecovered } = options;
   const offsets = new Map<string, number>();
   let next: number | null = null;
   let freshAt = -Infinity;
@@ -75,7 +75,7 @@
       next = null;
       return true;
     }
-    records.map((record) => store.keyed(record)).forEach(applyIfNewer);
+    records.map((record) => store.parseKeyed(record)).forEach(applyIfNewer);
     next = (records.at(-1)?.offset ?? from - 1) + 1;
     if (next >= end) freshAt = requestedAt;
     return true;
@@ -84,7 +84,7 @@
   const noteReadResult = (isRead: boolean): void => {
     if (isRead && isUnavailable) {
       log.info('store.read-back', { topic, next });
-      onBack?.();
+      onRecovered?.();
     }
     if (!isRead && !isUnavailable) log.warn('store.read-failed', { topic, next });
     isUnavailable = !isRead;
@@ -92,7 +92,7 @@
 
   const run = async (signal: AbortSignal): Promise<void> => {
     while (!signal.aborted) {
-      const nextReadAt = clock.now() + readPaceMs();
+      const nextReadAt = clock.now() + readIntervalMs();
       const isRead: boolean = await (next === null ? readSnapshot(signal) : readTail(next, signal));
       noteReadResult(isRead);
       await clock.sleepUntil(isRead ? nextReadAt : clock.now() + RETRY_DELAY_MS, signal);
--- a/packages/store/src/newMemoryStore.ts
+++ b/packages/store/src/newMemoryStore.ts
@@ -32,7 +32,7 @@
   /** Calls are not executed, and the caller is told so. */
   isRefusing: boolean;
   /** Calls are not executed and not answered. */
-  isSilent: boolean;
+  isUnresponsive: boolean;
   /** Number of next appends that are executed but whose answers are lost. */
   answersToLose: number;
   /** Number of next appends that are unanswered, and executed by `executeDelayedAppends`. */
@@ -41,7 +41,7 @@
 
 export const newNoFaults = (): StoreFaults => ({
   isRefusing: false,
-  isSilent: false,
+  isUnresponsive: false,
   answersToLose: 0,
   appendsToDelay: 0,
 });
@@ -56,7 +56,7 @@
 };
 
 /** Encodes a record of a keyed topic as it is stored. */
-export const keyedBody = (key: string, value: string): Buffer =>
+export const encodeKeyedBody = (key: string, value: string): Buffer =>
   Buffer.concat([Buffer.from([key.length]), Buffer.from(key), Buffer.from(value)]);
 
 const waitPollInterval = (): Promise<void> =>
@@ -155,7 +155,7 @@
   /** Access to the store for one host, with injected faults. */
   const newView = (faults: StoreFaults = newNoFaults()): Store => {
     const fault = (): Result<never, StoreFault> | null => {
-      if (faults.isSilent) return Err({ type: 'unknown', reason: 'silent' });
+      if (faults.isUnresponsive) return Err({ type: 'unknown', reason: 'silent' });
       return faults.isRefusing ? Err({ type: 'not-done', reason: 'refusing' }) : null;
     };
 
@@ -204,7 +204,7 @@
         return fault() ?? Ok(newest(topic));
       }
 
-      keyed({ offset, body }: StoredRecord): KeyedRecord {
+      parseKeyed({ offset, body }: StoredRecord): KeyedRecord {
         return { offset, ...parseKeyedBody(body) };
       }
     }
--- a/packages/store/src/newStoreWriter.ts
+++ b/packages/store/src/newStoreWriter.ts
@@ -148,7 +148,7 @@
     });
 
   return {
-    place: writeWithOffset,
+    writeWithOffset,
     write: async (records: Buffer[], deadline: number): Promise<WriteOutcome> =>
       (await writeWithOffset(records, deadline)).outcome,
   };
--- a/packages/store/src/newTopicFollower.ts
+++ b/packages/store/src/newTopicFollower.ts
@@ -21,10 +21,10 @@
   store: Store;
   topic: string;
   /** Minimum time between two reads of `run`; a longer time adds delay but saves calls. */
-  readPaceMs?: () => number;
+  readIntervalMs?: () => number;
   apply: (records: StoredRecord[]) => void;
   /** Called when the view holds everything written before `at`, on the monotonic clock. */
-  onWhole?: (at: number) => void;
+  onCaughtUp?: (at: number) => void;
 }
 
 /**
@@ -40,11 +40,11 @@
  * halves the page size, and each successful read increases it slightly.
  */
 const newTopicFollower = (options: TopicFollowerOptions) => {
-  const { clock, log, store, topic, readPaceMs = () => 0, apply, onWhole } = options;
+  const { clock, log, store, topic, readIntervalMs = () => 0, apply, onCaughtUp } = options;
   let next = 0;
   let freshAt = -Infinity;
   /** When the newest outage ended. */
-  let steadySince = -Infinity;
+  let lastOutageEndedAt = -Infinity;
   /** The highest end offset that the store has returned. */
   let knownEnd = 0;
   let isUnavailable = false;
@@ -93,9 +93,9 @@
       const isCaughtUp = next >= knownEnd;
       noteInitialRead(page.val.records, isCaughtUp);
       if (isCaughtUp) {
-        if (hadOutage(freshAt, requestedAt)) steadySince = clock.now();
+        if (hadOutage(freshAt, requestedAt)) lastOutageEndedAt = clock.now();
         freshAt = Math.max(freshAt, requestedAt);
-        onWhole?.(freshAt);
+        onCaughtUp?.(freshAt);
       }
       return true;
     }
@@ -112,7 +112,7 @@
   const run = async (signal: AbortSignal): Promise<void> => {
     isRunning = true;
     while (!signal.aborted) {
-      const nextReadAt = clock.now() + readPaceMs();
+      const nextReadAt = clock.now() + readIntervalMs();
       const isRead = await readOnce(READ_WAIT_MS, signal);
       const pauseUntil = next < knownEnd ? clock.now() : nextReadAt;
       await clock.sleepUntil(isRead ? pauseUntil : clock.now() + RETRY_DELAY_MS, signal);
@@ -141,9 +141,9 @@
     /** Monotonic time before which all written records are in the view. */
     freshAt: (): number => freshAt,
     /** When the newest outage ended; minus infinity before the view is first complete. */
-    steadySince: (): number => steadySince,
+    lastOutageEndedAt: (): number => lastOutageEndedAt,
     /** Whether the newest read failed. */
-    isLost: (): boolean => isUnavailable,
+    isUnavailable: (): boolean => isUnavailable,
   };
 };
 
--- a/packages/store/src/newTrimmer.ts
+++ b/packages/store/src/newTrimmer.ts
@@ -11,7 +11,7 @@
   store: Store;
   topic: string;
   /** Retention period of the records, in milliseconds. */
-  lifeMs: number;
+  retentionMs: number;
 }
 
 /**
@@ -20,7 +20,7 @@
  * A host reads the topic from its oldest record on. Without trimming, it would read minutes of
  * records although it needs only those of a few seconds.
  */
-const newTrimmer = ({ clock, log, store, topic, lifeMs }: TrimmerOptions) => {
+const newTrimmer = ({ clock, log, store, topic, retentionMs }: TrimmerOptions) => {
   let trimPoints: { offset: number; deadline: number }[] = [];
   let nextTrimPointAt = -Infinity;
 
@@ -36,7 +36,7 @@
     nextTrimPointAt = now + MIN_TRIM_INTERVAL_MS;
     const expired = trimPoints.filter(({ deadline }) => deadline < now);
     trimPoints = trimPoints.filter(({ deadline }) => deadline >= now);
-    trimPoints.push({ offset, deadline: now + lifeMs });
+    trimPoints.push({ offset, deadline: now + retentionMs });
     const newest = expired.at(-1);
     if (newest) trim(newest.offset);
   };
--- a/packages/store/tests/FaultyStore.ts
+++ b/packages/store/tests/FaultyStore.ts
@@ -161,7 +161,7 @@
     throw new Error('unused');
   }
 
-  keyed(): never {
+  parseKeyed(): never {
     throw new Error('unused');
   }
 }
--- a/packages/store/tests/followers.test.ts
+++ b/packages/store/tests/followers.test.ts
@@ -2,7 +2,7 @@
 import newSystemClock from '@cyclamengate/common/newSystemClock';
 import test from 'ava';
 import newKeyedFollower from '../src/newKeyedFollower.js';
-import newMemoryStore, { keyedBody, newNoFaults } from '../src/newMemoryStore.js';
+import newMemoryStore, { encodeKeyedBody, newNoFaults } from '../src/newMemoryStore.js';
 import newTopicFollower from '../src/newTopicFollower.js';
 import silentLog from './silentLog.js';
 
@@ -22,7 +22,7 @@
     log: silentLog,
     store: memory.newView(),
     topic: 'batches',
-    readPaceMs: () => 0,
+    readIntervalMs: () => 0,
     apply: (records) => records.forEach(({ body }) => applied.push(body.toString())),
   });
   memory.put('batches', [Buffer.from('a'), Buffer.from('b')]);
@@ -39,7 +39,7 @@
     log: silentLog,
     store: newMemoryStore().newView(faults),
     topic: 'batches',
-    readPaceMs: () => 0,
+    readIntervalMs: () => 0,
     apply: () => {},
   });
   t.false(await follower.catchUp(clock.now() + 150));
@@ -60,7 +60,7 @@
     log: silentLog,
     store: memory.newView(),
     topic: 'batches',
-    readPaceMs: () => 0,
+    readIntervalMs: () => 0,
     apply: (records) => records.forEach(({ body }) => applied.push(body.toString())),
   });
   t.true(await follower.catchUp(clock.now() + 1_000));
@@ -79,16 +79,16 @@
     log: silentLog,
     store: memory.newView(),
     topic: 'keyed.servers',
-    readPaceMs: () => 0,
+    readIntervalMs: () => 0,
     apply: ({ key, value }) => {
       if (value === null) known.delete(key);
       else known.set(key, value.toString());
     },
   });
-  memory.put('keyed.servers', [keyedBody('one', '1'), keyedBody('two', '2')]);
+  memory.put('keyed.servers', [encodeKeyedBody('one', '1'), encodeKeyedBody('two', '2')]);
   const running = follower.run(stop.signal);
   await waitUntil(() => known.size === 2);
-  memory.put('keyed.servers', [keyedBody('one', ''), keyedBody('three', '3')]);
+  memory.put('keyed.servers', [encodeKeyedBody('one', ''), encodeKeyedBody('three', '3')]);
   // Both records are trimmed before the follower can read them.
   memory.trim('keyed.servers', 3);
   await waitUntil(() => known.has('three') && !known.has('one') && !known.has('two'));
@@ -119,7 +119,7 @@
     log: silentLog,
     store,
     topic: 'batches',
-    readPaceMs: () => 0,
+    readIntervalMs: () => 0,
     apply: (records) => {
       count += records.length;
     },
@@ -143,18 +143,18 @@
     log: silentLog,
     store: memory.newView(faults),
     topic: 'batches',
-    readPaceMs: () => 0,
+    readIntervalMs: () => 0,
     apply: () => {},
   });
-  t.is(follower.steadySince(), -Infinity);
+  t.is(follower.lastOutageEndedAt(), -Infinity);
   t.true(await follower.catchUp(clock.now() + 1_000));
-  const first = follower.steadySince();
+  const first = follower.lastOutageEndedAt();
   await clock.sleepUntil(clock.now() + 300);
   t.true(await follower.catchUp(clock.now() + 1_000));
-  t.is(follower.steadySince(), first, 'a short pause is not an outage');
+  t.is(follower.lastOutageEndedAt(), first, 'a short pause is not an outage');
   faults.isRefusing = true;
   await clock.sleepUntil(clock.now() + 1_300);
   faults.isRefusing = false;
   t.true(await follower.catchUp(clock.now() + 1_000));
-  t.true(follower.steadySince() > first + 1_300);
+  t.true(follower.lastOutageEndedAt() > first + 1_300);
 });
--- a/packages/store/tests/newStoreWriter.test.ts
+++ b/packages/store/tests/newStoreWriter.test.ts
@@ -65,11 +65,11 @@
   faults.appendsToDelay = 1;
   const outcome = writer.write([Buffer.from('a')], clock.now() + 900);
   await clock.advance(10);
-  faults.isSilent = true;
+  faults.isUnresponsive = true;
   await clock.advance(1_500);
   t.is(await outcome, 'unknown');
   memory.executeDelayedAppends();
-  faults.isSilent = false;
+  faults.isUnresponsive = false;
   await clock.advance(2_000);
   t.deepEqual(texts(), ['a']);
 });
@@ -79,7 +79,7 @@
   const parts = newParts();
   const { clock, faults, writer } = parts;
   const place = (text: string, timeoutMs: number) =>
-    writer.place([Buffer.from(text)], clock.now() + timeoutMs);
+    writer.writeWithOffset([Buffer.from(text)], clock.now() + timeoutMs);
   place('opening', 20_000);
   faults.isRefusing = true;
   const writes = [place('a', 500), place('b', 20_000), place('c', 20_000)];
@@ -117,12 +117,12 @@
 test('a write queued behind an uncertain append is written after it', async (t) => {
   // A write that is queued behind an uncertain append must not be lost or overtake it.
   const { clock, faults, writer, texts } = newParts();
-  faults.isSilent = true;
+  faults.isUnresponsive = true;
   const first = writer.write([Buffer.from('a')], clock.now() + 500);
   await clock.advance(10);
   const second = writer.write([Buffer.from('b')], clock.now() + 9_000);
   await clock.advance(1_000);
-  faults.isSilent = false;
+  faults.isUnresponsive = false;
   await clock.advance(1_000);
   t.is(await first, 'unknown');
   t.is(await second, 'written');
--- a/packages/store/tests/newTrimmer.test.ts
+++ b/packages/store/tests/newTrimmer.test.ts
@@ -8,7 +8,7 @@
   const clock = newManualClock();
   const memory = newMemoryStore();
   const store = memory.newView();
-  const trim = newTrimmer({ clock, log: silentLog, store, topic: 'parts', lifeMs: 30_000 });
+  const trim = newTrimmer({ clock, log: silentLog, store, topic: 'parts', retentionMs: 30_000 });
   for (let second = 0; second < 60; second += 1) {
     trim(memory.put('parts', [Buffer.from(`of second ${second}`)]));
     await clock.advance(1_000);
--- a/packages/store/tests/runWritePlan.ts
+++ b/packages/store/tests/runWritePlan.ts
@@ -69,7 +69,7 @@
     const deadline = clock.now() + timeoutMs;
     trace.push(`${clock.now()} host-${host} writes [${bodies.join(' ')}], deadline ${deadline}`);
     const buffers = bodies.map((body) => Buffer.from(body));
-    hosts[host]?.place(buffers, deadline).then((placed) => {
+    hosts[host]?.writeWithOffset(buffers, deadline).then((placed) => {
       trace.push(`${clock.now()} ${name} settles as ${JSON.stringify(placed)}`);
       settled.set(name, { bodies, placed });
       check(name, 'when settled');
--- a/packages/upstreams/src/newUpstreamDirectory.ts
+++ b/packages/upstreams/src/newUpstreamDirectory.ts
@@ -34,7 +34,7 @@
   /**
    * Applies the platform's list. An upstream missing from it is unusable until a later list has it.
    */
-  const list = (listed: readonly UpstreamStatus[]): void => {
+  const applyListing = (listed: readonly UpstreamStatus[]): void => {
     const ids = new Set(listed.map(({ id }) => id));
     listed.forEach((status) => {
       const existing = upstreams.get(status.id);
@@ -47,7 +47,7 @@
     });
   };
 
-  const report = (id: string, status: EngineStatus): void => {
+  const applyStatus = (id: string, status: EngineStatus): void => {
     const upstream = upstreams.get(id);
     if (!upstream) return;
     upstream.reportedActive = status.active;
@@ -75,13 +75,13 @@
     upstream.breakerOpenUntil <= clock.now() &&
     isConfigured(upstream.status);
 
-  const succeed = (upstream: Upstream): void => {
+  const recordSuccess = (upstream: Upstream): void => {
     upstream.failures = 0;
     upstream.breakerOpenUntil = -Infinity;
   };
 
   /** Opens the circuit breaker after several consecutive failures, each time for twice as long. */
-  const fail = (upstream: Upstream): void => {
+  const recordFailure = (upstream: Upstream): void => {
     upstream.failures += 1;
     const excess = upstream.failures - FAILURES_TO_OPEN_BREAKER;
     if (excess < 0) return;
@@ -90,20 +90,20 @@
   };
 
   return {
-    list,
-    report,
-    succeed,
-    fail,
+    applyListing,
+    applyStatus,
+    recordSuccess,
+    recordFailure,
     all: (): Upstream[] => [...upstreams.values()],
     usable: (service: string): Upstream[] =>
       [...upstreams.values()].filter(
         (upstream) => upstream.status.service === service && isUsable(upstream),
       ),
-    begin: (upstream: Upstream): void => {
+    recordStart: (upstream: Upstream): void => {
       upstream.inFlight += 1;
       upstream.startedSinceReport += 1;
     },
-    end: (upstream: Upstream): void => {
+    recordEnd: (upstream: Upstream): void => {
       upstream.inFlight -= 1;
     },
   };
--- a/packages/upstreams/src/orderUpstreams.ts
+++ b/packages/upstreams/src/orderUpstreams.ts
@@ -1,6 +1,6 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { Log } from '@cyclamengate/common/newLogger';
-import { isSameHold } from '@cyclamengate/coordination/newLease';
+import { isStillHeld } from '@cyclamengate/coordination/newLease';
 import type { Lease } from '@cyclamengate/coordination/newLease';
 import type { LogWriter } from '@cyclamengate/coordination/newLogWriter';
 import { ORDER_TIMEOUT_MS } from '@cyclamengate/platform/newHttpUpstreamOrders';
@@ -106,7 +106,7 @@
       wanted,
       fence: held.fence,
     };
-    const placed = await orders.place(order, () => isSameHold(lease, held, LEASE_MARGIN_MS));
+    const placed = await orders.place(order, () => isStillHeld(lease, held, LEASE_MARGIN_MS));
     const outcome = placed.ok ? 'taken' : placed.val;
     log.info({ event: 'upstream-order', ...order, running, outcome });
     const name = poolKey(service.id, pool);
--- a/packages/upstreams/src/watchUpstreams.ts
+++ b/packages/upstreams/src/watchUpstreams.ts
@@ -19,7 +19,7 @@
   while (!signal.aborted) {
     const next = clock.now() + LIST_INTERVAL_MS;
     const listing = await hostList.read();
-    if (listing.ok) directory.list(listing.val.upstreams);
+    if (listing.ok) directory.applyListing(listing.val.upstreams);
     await clock.sleepUntil(next, signal);
   }
 };
@@ -40,7 +40,7 @@
     await Promise.all(
       sameDomain.map(async ({ status }) => {
         const reported = await engine.readStatus(status.url);
-        if (reported.ok) directory.report(status.id, reported.val);
+        if (reported.ok) directory.applyStatus(status.id, reported.val);
       }),
     );
     await clock.sleepUntil(next, signal);
--- a/packages/usage/src/newUsageKeeper.ts
+++ b/packages/usage/src/newUsageReplicaStore.ts
@@ -6,7 +6,7 @@
 const CHECK_INTERVAL_MS = 1_000;
 const WRITE_TIMEOUT_MS = 10_000;
 
-export interface UsageKeeperOptions {
+export interface UsageReplicaStoreOptions {
   clock: Clock;
   follower: Follower;
   writer: LogWriter;
@@ -19,7 +19,7 @@
  * hosts that failed. If such a host is still running, both write the same deltas and the fold
  * counts each delta once.
  */
-const newUsageKeeper = ({ clock, follower, writer, isLive }: UsageKeeperOptions) => {
+const newUsageReplicaStore = ({ clock, follower, writer, isLive }: UsageReplicaStoreOptions) => {
   const deltasByHost = new Map<string, UsageDelta[]>();
 
   const discardThrough = (host: string, through: number): void => {
@@ -32,7 +32,7 @@
     if (record.type === 'usage-delta') discardThrough(record.host, record.sequence);
   });
 
-  const keep = (host: string, deltas: UsageDelta[]): void => {
+  const store = (host: string, deltas: UsageDelta[]): void => {
     deltasByHost.set(host, deltas);
     discardThrough(host, follower.state().usage.hosts[host]?.sequence ?? -1);
   };
@@ -50,9 +50,9 @@
     }
   };
 
-  return { keep, run, kept: (): number => deltasByHost.size };
+  return { store, run, kept: (): number => deltasByHost.size };
 };
 
-export type UsageKeeper = ReturnType<typeof newUsageKeeper>;
+export type UsageReplicaStore = ReturnType<typeof newUsageReplicaStore>;
 
-export default newUsageKeeper;
+export default newUsageReplicaStore;
--- a/packages/usage/src/reportUsage.ts
+++ b/packages/usage/src/reportUsage.ts
@@ -1,7 +1,7 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { Log } from '@cyclamengate/common/newLogger';
 import type { Follower } from '@cyclamengate/coordination/newFollower';
-import { isSameHold } from '@cyclamengate/coordination/newLease';
+import { isStillHeld } from '@cyclamengate/coordination/newLease';
 import type { Lease } from '@cyclamengate/coordination/newLease';
 import type { LogWriter } from '@cyclamengate/coordination/newLogWriter';
 import { REPORT_TIMEOUT_MS } from '@cyclamengate/platform/newHttpUsageReports';
@@ -76,7 +76,7 @@
     const held = lease.holdFor(REPORT_TIMEOUT_MS + LEASE_MARGIN_MS);
     if (window === undefined || !closed || !held) return false;
     const report = { window, fence: held.fence, figures: closed.figures };
-    const sent = await reports.send(report, () => isSameHold(lease, held, LEASE_MARGIN_MS));
+    const sent = await reports.send(report, () => isStillHeld(lease, held, LEASE_MARGIN_MS));
     log.info({ event: 'usage-report', window, outcome: sent.ok ? 'taken' : sent.val });
     if (!sent.ok) return false;
     await writer.write({ type: 'usage-reported', window }, clock.now() + WRITE_TIMEOUT_MS);
--- a/packages/usage/tests/usage.test.ts
+++ b/packages/usage/tests/usage.test.ts
@@ -14,7 +14,7 @@
 import newLogHost from '@cyclamengate/harness/newLogHost';
 import test from 'ava';
 import newMeter from '../src/newMeter.js';
-import newUsageKeeper from '../src/newUsageKeeper.js';
+import newUsageReplicaStore from '../src/newUsageReplicaStore.js';
 import reportUsage from '../src/reportUsage.js';
 
 const WINDOW_MS = 10_000;
@@ -47,7 +47,7 @@
     writer,
     name: REPORTS_LEASE,
     holder: name,
-    deferMs: () => (name === 'first' ? 0 : 100),
+    claimDelayMs: () => (name === 'first' ? 0 : 100),
   });
   lease.run(signal).catch(() => undefined);
   const silent = newLogger('test', SILENT_LEVEL);
@@ -134,14 +134,14 @@
   newReporter(log, clock, reports, 'first');
   const peer = newLogHost(log, clock, 'peer');
   const live = new Set(['entry', 'peer']);
-  const keeper = newUsageKeeper({
+  const keeper = newUsageReplicaStore({
     clock,
     follower: peer.follower,
     writer: peer.writer,
     isLive: (host) => live.has(host),
   });
   keeper.run(peer.signal).catch(() => undefined);
-  const entry = newEntry(log, clock, 'entry', async (deltas) => keeper.keep('entry', deltas));
+  const entry = newEntry(log, clock, 'entry', async (deltas) => keeper.store('entry', deltas));
   await clock.advance(2_100);
   entry.meter.add('players', newFigure(77));
   await clock.advance(600);
@@ -161,9 +161,9 @@
   newReporter(log, clock, reports, 'first');
   const peer = newLogHost(log, clock, 'peer');
   const { follower, writer } = peer;
-  const keeper = newUsageKeeper({ clock, follower, writer, isLive: () => false });
+  const keeper = newUsageReplicaStore({ clock, follower, writer, isLive: () => false });
   keeper.run(peer.signal).catch(() => undefined);
-  const entry = newEntry(log, clock, 'entry', async (deltas) => keeper.keep('entry', deltas));
+  const entry = newEntry(log, clock, 'entry', async (deltas) => keeper.store('entry', deltas));
   for (let second = 0; second < 20; second += 1) {
     entry.meter.add('players', newFigure(2));
     await clock.advance(1_000);
--- a/scripts/naive.js
+++ b/scripts/naive.js
@@ -40,7 +40,7 @@
   [
     'others take a lease without waiting',
     'packages/coordination/dist/src/newLease.js',
-    'readAt + LEASE_TERM_MS + LEASE_MARGIN_MS + deferMs()',
+    'readAt + LEASE_TERM_MS + LEASE_MARGIN_MS + claimDelayMs()',
     'readAt',
     'packages/coordination',
     '*never two holders*',
