--- a/apps/control/tests/orders.process.test.ts
+++ b/apps/control/tests/orders.process.test.ts
@@ -29,10 +29,10 @@
 
 /** Kills the first control process during its first orders and starts another one to take over. */
 const killControlWhileOrdering = async (system: System): Promise<void> => {
-  const startup = system.begin();
+  const startup = system.publishExampleAndWait();
   await waitUntil('orders', async () => system.platform.fleet.received().length >= 3);
   system.control.child.kill('SIGKILL');
-  await system.startOne('control', 'control-2', 1);
+  await system.startDaemon('control', 'control-2', 1);
   await startup;
   await waitUntil('all upstreams are running', async () =>
     Object.entries(MIN_UPSTREAMS).every(
@@ -50,11 +50,11 @@
   async (t) => {
     const system = await newSystem(1);
     t.teardown(system.stop);
-    await system.begin();
-    const second = await system.startOne('control', 'control-2', 1);
+    await system.publishExampleAndWait();
+    const second = await system.startDaemon('control', 'control-2', 1);
     system.control.child.kill('SIGSTOP');
     await sleep(SUSPENSION_MS);
-    const yaml = await system.exampleWith(
+    const yaml = await system.replaceInExample(
       'minUpstreams: 1, maxUpstreams: 3',
       'minUpstreams: 2, maxUpstreams: 3',
     );
@@ -84,7 +84,7 @@
     times: 6,
     delayMs: 0,
   });
-  await system.begin();
+  await system.publishExampleAndWait();
   await sleep(3_000);
   Object.entries(MIN_UPSTREAMS).forEach(([service, count]) =>
     t.is(countActiveUpstreams(system, service), count, service),
--- a/apps/control/tests/outages.process.test.ts
+++ b/apps/control/tests/outages.process.test.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { isWhole, post } from '@cyclamengate/fakes/callers';
+import { isStreamComplete, post } from '@cyclamengate/fakes/callers';
 import newSystem from '@cyclamengate/fakes/newSystem';
 import { waitUntil } from '@cyclamengate/fakes/newProcesses';
 import test from 'ava';
@@ -11,15 +11,15 @@
   async (t) => {
     const system = await newSystem(2);
     t.teardown(system.stop);
-    await system.begin();
+    await system.publishExampleAndWait();
     const [one, two] = system.entries;
     system.platform.faults.set({ target: 'log', fault: 'down', isOn: true, times: -1, delayMs: 0 });
     let tokens = 0;
     for (let count = 0; count < 40; count += 1) {
-      const answer = await system.complete(count % 2 === 0 ? one! : two!, 'booking', {
+      const answer = await system.requestCompletion(count % 2 === 0 ? one! : two!, 'booking', {
         max_tokens: 7,
       });
-      t.true(isWhole(answer));
+      t.true(isStreamComplete(answer));
       tokens += 7;
       await sleep(200);
     }
@@ -64,16 +64,16 @@
     const system = await newSystem(1);
     t.teardown(system.stop);
     const partitioned = await system.startBehindForwarder('entry', 'entry-cut', 1);
-    await system.begin();
+    await system.publishExampleAndWait();
     await waitUntil('the partitioned entry serves', async () =>
-      isWhole(await system.complete(partitioned.daemon, 'players')),
+      isStreamComplete(await system.requestCompletion(partitioned.daemon, 'players')),
     );
-    partitioned.forwarder.set('cut');
-    const yaml = await system.exampleWithoutKey('players');
+    partitioned.forwarder.setMode('cut');
+    const yaml = await system.withdrawKeyInExample('players');
     const published = await system.publish(yaml);
     t.is(published.status, 0, published.text);
-    t.is((await system.complete(partitioned.daemon, 'players')).status, 401);
-    t.true(isWhole(await system.complete(partitioned.daemon, 'teachers')));
+    t.is((await system.requestCompletion(partitioned.daemon, 'players')).status, 401);
+    t.true(isStreamComplete(await system.requestCompletion(partitioned.daemon, 'teachers')));
   },
 );
 
@@ -85,20 +85,20 @@
     const system = await newSystem(1);
     t.teardown(system.stop);
     const partitioned = await system.startBehindForwarder('entry', 'entry-cut', 1);
-    await system.begin();
-    const yaml = await system.exampleWith(
+    await system.publishExampleAndWait();
+    const yaml = await system.replaceInExample(
       'id: ledger, share',
       'id: ledger, whenCutOff: refuse, share',
     );
     t.is((await system.publish(yaml)).status, 0);
-    t.true(isWhole(await system.complete(partitioned.daemon, 'ledger')));
-    partitioned.forwarder.set('silent');
+    t.true(isStreamComplete(await system.requestCompletion(partitioned.daemon, 'ledger')));
+    partitioned.forwarder.setMode('silent');
     system.daemons
       .filter(({ id }) => id !== 'entry-cut')
       .forEach(({ child }) => child.kill('SIGSTOP'));
     await sleep(12_000);
-    t.true(isWhole(await system.complete(partitioned.daemon, 'players')));
-    const refused = await system.complete(partitioned.daemon, 'ledger');
+    t.true(isStreamComplete(await system.requestCompletion(partitioned.daemon, 'players')));
+    const refused = await system.requestCompletion(partitioned.daemon, 'ledger');
     t.is(refused.status, 503);
     t.regex(refused.text, /settings-too-old/);
   },
@@ -111,19 +111,19 @@
   const system = await newSystem(1);
   t.teardown(system.stop);
   const host = await system.startBehindForwarder('entry', 'entry-behind', 1, { seeds: [] });
-  await system.begin();
+  await system.publishExampleAndWait();
   await waitUntil('the entry serves', async () =>
-    isWhole(await system.complete(host.daemon, 'players')),
+    isStreamComplete(await system.requestCompletion(host.daemon, 'players')),
   );
-  host.forwarder.set('silent');
+  host.forwarder.setMode('silent');
   await sleep(300);
-  host.forwarder.healNewOnly();
-  const yaml = await system.exampleWithoutKey('players');
+  host.forwarder.restoreNewConnections();
+  const yaml = await system.withdrawKeyInExample('players');
   t.regex((await system.publish(yaml)).text, /"accepted":true/);
   const startedAt = performance.now();
   await waitUntil(
     'the key is refused',
-    async () => (await system.complete(host.daemon, 'players')).status === 401,
+    async () => (await system.requestCompletion(host.daemon, 'players')).status === 401,
   );
   t.log(`refused after ${Math.round(performance.now() - startedAt)} ms`);
   t.pass();
@@ -134,15 +134,15 @@
 test.serial('an entirely new set of hosts restores its state from the log alone', async (t) => {
   const system = await newSystem(1, { recordsKept: 200 });
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   for (let count = 0; count < 60; count += 1) {
-    await system.appendForeign(10);
+    await system.appendForeignRecords(10);
     await sleep(100);
   }
   await Promise.all(system.daemons.map(({ child }) => system.processes.end(child, 'SIGKILL')));
-  const entry = await system.startOne('entry', 'entry-new', 0, { seeds: [] });
+  const entry = await system.startDaemon('entry', 'entry-new', 0, { seeds: [] });
   await waitUntil('the new entry serves', async () =>
-    isWhole(await system.complete(entry, 'players')),
+    isStreamComplete(await system.requestCompletion(entry, 'players')),
   );
-  t.is((await system.complete(entry, 'nobody')).status, 401);
+  t.is((await system.requestCompletion(entry, 'nobody')).status, 401);
 });
--- a/apps/entry/src/newAdmissions.ts
+++ b/apps/entry/src/newAdmissions.ts
@@ -33,7 +33,7 @@
       reservedPart: settings.policy.reservedPart,
       readSettings: runtime.effective,
       otherEntries,
-      inFlightOf: openRequests.runningCount,
+      countInFlight: openRequests.runningCount,
     });
     refreshAdmission(created, service);
     admissions.set(service, created);
--- a/apps/entry/src/newServiceHandler.ts
+++ b/apps/entry/src/newServiceHandler.ts
@@ -83,12 +83,12 @@
     const claim = await claimCall(call.customer, idempotencyKey, requestDigest);
     if (!claim.ok) return claim;
     if (signal.aborted) {
-      claim.val.end('not-run');
+      claim.val.recordOutcome('not-run');
       return Err(notRun('caller-gone', 'given up before it was sent'));
     }
     const answer = await relayService(service.id, call, false, signal);
-    if (answer.ok) claim.val.end('ran');
-    else claim.val.end(answer.val.outcome === 'not-run' ? 'not-run' : 'unknown');
+    if (answer.ok) claim.val.recordOutcome('ran');
+    else claim.val.recordOutcome(answer.val.outcome === 'not-run' ? 'not-run' : 'unknown');
     return answer;
   };
 
--- a/apps/entry/src/sendRefusal.ts
+++ b/apps/entry/src/sendRefusal.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from 'node:http';
 import { sendJson } from '@cyclamengate/common/handler';
 import sendJsonAndClose from '@cyclamengate/common/sendJsonAndClose';
-import { statusOf } from '@cyclamengate/routing/refusal';
+import { getHttpStatus } from '@cyclamengate/routing/refusal';
 import type { Refusal } from '@cyclamengate/routing/refusal';
 
 const secondsUntil = (retryAt: number, now: number): number =>
@@ -26,7 +26,7 @@
   now: number,
 ): void => {
   const send = isBodyUnread(refusal) ? sendJsonAndClose : sendJson;
-  send(response, statusOf(refusal), newRefusalBody(refusal, requestId), {
+  send(response, getHttpStatus(refusal), newRefusalBody(refusal, requestId), {
     'x-request-id': requestId,
     'x-outcome': refusal.outcome,
     ...(refusal.retryAt === null
--- a/apps/entry/src/serveAdmitted.ts
+++ b/apps/entry/src/serveAdmitted.ts
@@ -43,7 +43,7 @@
     priority,
     cost,
     deadline,
-    isGivenUp: false,
+    isCancelled: false,
   };
   const admission = admissions.forService(service);
   const run = async (): Promise<WorkResult<T>> => {
--- a/apps/entry/tests/deaths.process.test.ts
+++ b/apps/entry/tests/deaths.process.test.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import { isWhole, keyOf, post } from '@cyclamengate/fakes/callers';
+import { isStreamComplete, demoKeyOf, post } from '@cyclamengate/fakes/callers';
 import newSystem from '@cyclamengate/fakes/newSystem';
 import { waitUntil } from '@cyclamengate/fakes/newProcesses';
 import test from 'ava';
@@ -10,7 +10,7 @@
 test.serial('a non-idempotent call runs at most once when its entry is killed', async (t) => {
   const system = await newSystem(3);
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const listBookings = (): string[] =>
     [...system.platform.fleet.running.values()].flatMap(({ engine }) =>
       engine
@@ -35,8 +35,8 @@
   keys.forEach((key) => {
     t.true(listBookings().filter((path) => path.endsWith(`book-${key}`)).length <= 1, key);
   });
-  t.true(isWhole(await system.complete(two!, 'players')));
-  t.true(keyOf('ledger').length > 0);
+  t.true(isStreamComplete(await system.requestCompletion(two!, 'players')));
+  t.true(demoKeyOf('ledger').length > 0);
 });
 
 // Guards against losing usage that a killed entry had relayed and copied to a peer, but not yet
@@ -44,7 +44,7 @@
 test.serial('usage of a killed entry is billed from the copy at its peer', async (t) => {
   const system = await newSystem(2);
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const [one] = system.entries;
   system.platform.faults.set({
     target: 'log',
@@ -53,7 +53,7 @@
     times: -1,
     delayMs: 1_500,
   });
-  t.true(isWhole(await system.complete(one!, 'repairs', { max_tokens: 111 })));
+  t.true(isStreamComplete(await system.requestCompletion(one!, 'repairs', { max_tokens: 111 })));
   await sleep(1_200);
   one!.child.kill('SIGKILL');
   system.platform.faults.set({ target: 'log', fault: 'slow', isOn: false, times: -1, delayMs: 0 });
@@ -68,10 +68,10 @@
 test.serial('streams of a draining entry survive the reclaim of their upstreams', async (t) => {
   const system = await newSystem(2, { tokenDelayMs: 20 });
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const [one] = system.entries;
   const streams = Array.from({ length: 6 }, (_, index) =>
-    system.complete(
+    system.requestCompletion(
       one!,
       'workshop',
       { max_tokens: 250, prompt: `question ${index}` },
@@ -86,7 +86,7 @@
   });
   t.is(reclaim.statusCode, 200);
   const answers = await Promise.all(streams);
-  t.true(answers.every(isWhole));
+  t.true(answers.every(isStreamComplete));
   await ended;
   t.is(one!.child.exitCode, 0);
 });
--- a/apps/entry/tests/entry.process.test.ts
+++ b/apps/entry/tests/entry.process.test.ts
@@ -3,7 +3,7 @@
 import { request } from 'undici';
 import { waitUntil } from '@cyclamengate/fakes/newProcesses';
 import test from 'ava';
-import { isWhole, keyOf, post } from '@cyclamengate/fakes/callers';
+import { isStreamComplete, demoKeyOf, post } from '@cyclamengate/fakes/callers';
 import newSystem from '@cyclamengate/fakes/newSystem';
 
 /** Sends raw bytes and resolves to everything that the server answered before the connection closed. */
@@ -24,16 +24,17 @@
 test('no key leaves the entry, in headers, bodies, paths, logs, errors or metrics', async (t) => {
   const system = await newSystem(1);
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const [entry] = system.entries;
   const service = `${entry!.url}/v1/services/client-desk/find`;
   t.is(
-    (await post(service, 'players', { part: 'bridge' }, { 'x-smuggled': keyOf('players') })).status,
+    (await post(service, 'players', { part: 'bridge' }, { 'x-smuggled': demoKeyOf('players') }))
+      .status,
     200,
   );
-  t.is((await post(`${service}?key=${keyOf('players')}`, 'players', {})).status, 400);
-  t.is((await post(service, 'players', { key: keyOf('players') })).status, 400);
-  const both = await post(service, 'players', {}, { 'x-api-key': keyOf('teachers') });
+  t.is((await post(`${service}?key=${demoKeyOf('players')}`, 'players', {})).status, 400);
+  t.is((await post(service, 'players', { key: demoKeyOf('players') })).status, 400);
+  const both = await post(service, 'players', {}, { 'x-api-key': demoKeyOf('teachers') });
   t.is(both.status, 400);
   t.is((await post(service, 'nobody', {})).status, 401);
   const metrics = await (await request(`${entry!.url}/metrics`)).body.text();
@@ -54,9 +55,9 @@
 test('malformed, oversized and slow requests are refused and others still served', async (t) => {
   const system = await newSystem(1);
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const [entry] = system.entries;
-  const head = `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${keyOf('players')}\r\n`;
+  const head = `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${demoKeyOf('players')}\r\n`;
   const smuggled = await sendRaw(
     entry!.url,
     `${head}content-length: 2\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\nGET /metrics HTTP/1.1\r\n\r\n`,
@@ -64,13 +65,15 @@
   t.regex(smuggled, /^HTTP\/1\.1 400/);
   const longHeaders = await sendRaw(entry!.url, `${head}x-fat: ${'a'.repeat(20_000)}\r\n\r\n`);
   t.regex(longHeaders, /^HTTP\/1\.1 431/);
-  const large = await system.complete(entry!, 'players', { prompt: 'x'.repeat(8_000_000) });
+  const large = await system.requestCompletion(entry!, 'players', {
+    prompt: 'x'.repeat(8_000_000),
+  });
   t.is(large.status, 413);
   t.is(JSON.parse(large.text).error.outcome, 'not-run');
   const slow = await sendRaw(entry!.url, `${head}content-length: 100\r\n\r\n{"model":`);
   t.regex(slow, /^HTTP\/1\.1 408/);
   t.regex(slow, /"outcome":"not-run"/);
-  t.true(isWhole(await system.complete(entry!, 'players')));
+  t.true(isStreamComplete(await system.requestCompletion(entry!, 'players')));
 });
 
 // Guards against checking keys only at the start of a request: an operator withdraws a key while a
@@ -78,32 +81,33 @@
 test('a withdrawn key ends its open stream and is refused at every entry', async (t) => {
   const system = await newSystem(2, { tokenDelayMs: 20 });
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const [one, two] = system.entries;
-  const openStream = system.complete(one!, 'players', { max_tokens: 5_000 });
-  const other = system.complete(two!, 'teachers', { max_tokens: 200 });
+  const openStream = system.requestCompletion(one!, 'players', { max_tokens: 5_000 });
+  const other = system.requestCompletion(two!, 'teachers', { max_tokens: 200 });
   const yaml = `subtrees:
   /papadakis:
     customers: [{ id: players }, { id: teachers }]
     keys:
       - { id: teachers-key, customer: teachers, digest: DIGEST }`;
   const { default: digest } = await import('@cyclamengate/common/digest');
-  const published = await system.publish(yaml.replace('DIGEST', digest(keyOf('teachers'))));
+  const published = await system.publish(yaml.replace('DIGEST', digest(demoKeyOf('teachers'))));
   t.is(published.status, 0, published.text);
   const ended = await openStream;
   t.regex(ended.text, /"code":"key-withdrawn","outcome":"partial"/);
-  t.false(isWhole(ended));
-  for (const entry of [one!, two!]) t.is((await system.complete(entry, 'players')).status, 401);
-  t.true(isWhole(await other));
+  t.false(isStreamComplete(ended));
+  for (const entry of [one!, two!])
+    t.is((await system.requestCompletion(entry, 'players')).status, 401);
+  t.true(isStreamComplete(await other));
 });
 
 // Guards against truncated streams and lost usage when an entry is replaced while it serves.
 test('a graceful shutdown completes open streams and writes their usage to the log', async (t) => {
   const system = await newSystem(2, { tokenDelayMs: 20 });
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const [one] = system.entries;
-  const openStream = system.complete(one!, 'teachers', { max_tokens: 250 });
+  const openStream = system.requestCompletion(one!, 'teachers', { max_tokens: 250 });
   await waitUntil('the stream runs', async () => {
     const metrics = await (await request(`${one!.url}/metrics`)).body.text();
     return metrics.includes('open_requests 1');
@@ -114,7 +118,7 @@
     await ready.body.dump();
     return ready.statusCode === 503;
   });
-  t.true(isWhole(await openStream));
+  t.true(isStreamComplete(await openStream));
   await ended;
   t.is(one!.child.exitCode, 0);
   await waitUntil('the usage is reported', async () =>
@@ -129,13 +133,16 @@
 test('a caller that disconnects cancels the work of its upstream', async (t) => {
   const system = await newSystem(1, { tokenDelayMs: 20 });
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const [entry] = system.entries;
   const disconnect = new AbortController();
   const pendingResponse = request(`${entry!.url}/v1/completions`, {
     method: 'POST',
     signal: disconnect.signal,
-    headers: { authorization: `Bearer ${keyOf('players')}`, 'content-type': 'application/json' },
+    headers: {
+      authorization: `Bearer ${demoKeyOf('players')}`,
+      'content-type': 'application/json',
+    },
     body: JSON.stringify({ model: 'tone-assistant', prompt: 'x', max_tokens: 9_000, stream: true }),
   });
   const answer = await pendingResponse;
@@ -156,15 +163,15 @@
 test('crossed, truncated and stalled answers are replaced by complete ones', async (t) => {
   const system = await newSystem(1);
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const [entry] = system.entries;
   for (const fault of ['cross-answers', 'cut-answers', 'silent'] as const) {
     system.platform.faults.set({ target: 'any-upstream', fault, isOn: true, times: 1, delayMs: 0 });
-    const answer = await system.complete(entry!, 'players', { max_tokens: 10 });
+    const answer = await system.requestCompletion(entry!, 'players', { max_tokens: 10 });
     const tokenIndices = [...answer.text.matchAll(/"text":" 11\.(\d+)"/g)].map(([, index]) =>
       Number(index),
     );
-    t.true(isWhole(answer), `${fault}: ${answer.text.slice(-200)}`);
+    t.true(isStreamComplete(answer), `${fault}: ${answer.text.slice(-200)}`);
     t.deepEqual(tokenIndices, [0, 1, 2, 3, 4, 5, 6, 7, 8, 9], fault);
   }
 });
@@ -173,7 +180,7 @@
 test('a leaving upstream gets no new work after a few seconds', async (t) => {
   const system = await newSystem(1, { tokenDelayMs: 5, listLagMs: 1_000 });
   t.teardown(system.stop);
-  await system.begin();
+  await system.publishExampleAndWait();
   const [entry] = system.entries;
   const leaving = [...system.platform.fleet.running.values()].find(
     ({ status }) => status.service === 'tone-assistant' && status.failureDomain === 'nafplio-a',
@@ -183,7 +190,11 @@
   await sleep(3_000);
   const before = leaving!.engine.served().length;
   for (let count = 0; count < 20; count += 1) {
-    t.true(isWhole(await system.complete(entry!, 'players', { prompt: `question ${count}` })));
+    t.true(
+      isStreamComplete(
+        await system.requestCompletion(entry!, 'players', { prompt: `question ${count}` }),
+      ),
+    );
   }
   t.is(leaving!.engine.served().length, before);
 });
--- a/apps/host/src/followPlatform.ts
+++ b/apps/host/src/followPlatform.ts
@@ -58,7 +58,7 @@
 
   const applyUpstream = ({ key, value }: KeyedRecord): void => {
     if (value === null) {
-      directory.drop(key);
+      directory.remove(key);
       return;
     }
     const entry = parseUpstream(key, value);
@@ -81,7 +81,7 @@
     topic: UPSTREAMS_TOPIC,
     readIntervalMs: () => UPSTREAMS_READ_INTERVAL_MS * readIntervalFactor(),
     apply: applyUpstream,
-    onRecovered: directory.storeIsBack,
+    onRecovered: directory.startGracePeriod,
   });
 
   return {
--- a/apps/host/src/newCallerHandler.ts
+++ b/apps/host/src/newCallerHandler.ts
@@ -104,7 +104,7 @@
       lastEventId: request.lastEventId,
       service,
       isIdempotent: route.isStream ? route.isResumable : route.kind === 'idempotent',
-      mostUpstreams: route.mostUpstreams,
+      maxUpstreams: route.maxUpstreams,
       deadline: deadlineOf(route, request, arrivedAt),
     };
     const controller = newCallerAbortController(response);
@@ -137,7 +137,7 @@
     const effective = readSettings();
     const route = effective && findRoute(effective, caller.hostName, caller.path);
     const identity = effective && route ? findCaller(effective, route, caller.key) : null;
-    const limitBytes = effective?.settings.limits.mostBodyBytes ?? 0;
+    const limitBytes = effective?.settings.limits.maxBodyBytes ?? 0;
     // Also read before a refusal: closing with unread bytes would reset the connection.
     const body = await readBody(request, Math.max(limitBytes, 65_536), BODY_TIMEOUT_MS);
     const version = effective?.settings.version;
--- a/apps/host/src/newDuties.ts
+++ b/apps/host/src/newDuties.ts
@@ -5,14 +5,14 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 import loadWeights from '@cyclamengate/engines/loadWeights';
-import mostLoadsAtOnce from '@cyclamengate/engines/mostLoadsAtOnce';
+import computeMaxConcurrentLoads from '@cyclamengate/engines/computeMaxConcurrentLoads';
 import findDueLoads from '@cyclamengate/engines/findDueLoads';
 import type { NewestVersion } from '@cyclamengate/engines/findDueLoads';
 import type { DueLoad } from '@cyclamengate/engines/loadWeights';
 import type { Directory } from '@cyclamengate/engines/newDirectory';
 import scaleUpstreams from '@cyclamengate/engines/scaleUpstreams';
 import type { ScaledService } from '@cyclamengate/engines/scaleUpstreams';
-import { versionOf } from '@cyclamengate/engines/upstreamEntry';
+import { getLoadedVersion } from '@cyclamengate/engines/upstreamEntry';
 import type { EffectiveSettings } from '@cyclamengate/gateway/newSettingsView';
 import reportWindows from '@cyclamengate/hosts/reportWindows';
 import type { Coordination } from './newCoordination.js';
@@ -50,7 +50,7 @@
     const settings = readSettings()?.settings;
     if (!settings) return [];
     const versionsBehind = ({ entry, model, version }: DueLoad): number =>
-      version - versionOf(entry, model);
+      version - getLoadedVersion(entry, model);
     return settings.services
       .flatMap((service) => {
         const mustWaitForRuns = settings.routes.some(
@@ -75,7 +75,7 @@
     const ownEngines = modelServices
       .flatMap(({ name }) => directory.all(name))
       .filter((entry) => entry.failureDomain === failureDomain);
-    return mostLoadsAtOnce(ownEngines.length);
+    return computeMaxConcurrentLoads(ownEngines.length);
   };
 
   const findScaledServices = (): ScaledService[] =>
@@ -84,7 +84,7 @@
         ? [
             {
               service: name,
-              bounds: { least: scaling.least, most: scaling.most },
+              bounds: { minUpstreams: scaling.minUpstreams, maxUpstreams: scaling.maxUpstreams },
               bootMs: scaling.bootMs,
             },
           ]
@@ -115,10 +115,10 @@
           log,
           host,
           orders: newHttpWeightOrders(log, connections),
-          hold: enginesLease.hold,
+          getLease: enginesLease.hold,
           findDue,
-          find: directory.find,
-          mostAtOnce: maxConcurrentLoads,
+          findEngine: directory.find,
+          maxConcurrentLoads,
         },
         signal,
       ),
@@ -129,7 +129,7 @@
           host,
           failureDomain,
           orders: newHttpUpstreamOrders(address),
-          hold: enginesLease.hold,
+          getLease: enginesLease.hold,
           services: findScaledServices,
           entries: directory.all,
           openItems,
--- a/apps/host/src/newHost.ts
+++ b/apps/host/src/newHost.ts
@@ -76,10 +76,10 @@
     cores,
     leaseMs: terms.leaseMs,
     meter,
-    readRunningCounts: loads.ownAll,
+    readRunningCounts: loads.countAllLocal,
     isLeaving: () => isLeaving,
   });
-  loads.countOthers(coordination.runningElsewhere);
+  loads.setRemoteLoads(coordination.runningElsewhere);
   const connections = newConnections();
   const client = newHttpUpstreamClient(clock, connections);
   const candidates = newCandidates({
@@ -130,8 +130,7 @@
   });
   const allowedLags = newAllowedLags();
   batchStore.batches.onAccepted(({ model, leastVersion }) => {
-    if (model !== null)
-      allowedLags.note(model, platform.newestVersion(model).version, leastVersion);
+    if (model !== null) allowedLags.set(model, platform.newestVersion(model).version, leastVersion);
   });
   const partitionWatch = newCutWatch({
     clock,
@@ -184,7 +183,7 @@
     directory,
     readSettings: settingsView.read,
     newestVersion: platform.newestVersion,
-    allowedLag: allowedLags.of,
+    allowedLag: allowedLags.get,
     openItems: (service) =>
       batchStore.batches
         .open()
@@ -193,9 +192,9 @@
     failureDomain,
     newLease: coordination.newLease,
   });
-  directory.onGone((entry) => {
-    client.forget(entry);
-    health.forget(entry.id);
+  directory.onRemoved((entry) => {
+    client.closeConnections(entry);
+    health.remove(entry.id);
   });
 
   const batchWriter = newBatchKeeper({
--- a/apps/host/tests/batchHelpers.ts
+++ b/apps/host/tests/batchHelpers.ts
@@ -1,5 +1,5 @@
 import { HOST_NAME, MODEL } from '@cyclamengate/app-platform-standin/newPlatform';
-import { eventsOf } from '@cyclamengate/app-platform-standin/newEngineServer';
+import { expectedEventCount } from '@cyclamengate/app-platform-standin/newEngineServer';
 import { send, waitUntil } from './newHosts.js';
 import type { Answer, TestHost } from './newHosts.js';
 
@@ -58,4 +58,4 @@
 
 /** The expected text of an item; it does not depend on the engines that generate it. */
 export const expectedTextOf = (item: string): string =>
-  Array.from({ length: eventsOf(item) }, (_, index) => `${item}/${index + 1}`).join('\n');
+  Array.from({ length: expectedEventCount(item) }, (_, index) => `${item}/${index + 1}`).join('\n');
--- a/apps/host/tests/endToEnd.process.test.ts
+++ b/apps/host/tests/endToEnd.process.test.ts
@@ -65,7 +65,7 @@
 
 test.serial('engines load published weights, and results name their version', async (t) => {
   const { platform, first, close } = await newSystem();
-  platform.nameVersion(2);
+  platform.publishVersion(2);
   await waitUntil(
     () => platform.engines.filter(({ versions }) => [...versions.values()].includes(2)).length >= 2,
   );
@@ -101,7 +101,7 @@
   // repeated when another engine resumes an item after its last event.
   const { platform, first, close } = await newSystem();
   const [broken] = platform.engines;
-  if (broken) broken.faults.breakAfter = 2;
+  if (broken) broken.faults.resetAfterEvents = 2;
   t.is((await submit(first, 'b4', batchBody('b4', 4, 4))).status, 202);
   const page = await readAllResults(first, 'b4');
   t.true(page.results.every(({ id, text }) => text === expectedTextOf(id)));
@@ -114,7 +114,7 @@
   // A faulty engine swaps its responses: each has the id of another request.
   const { platform, first, close } = await newSystem();
   const [crossed] = platform.engines;
-  if (crossed) crossed.faults.isCrossed = true;
+  if (crossed) crossed.faults.hasWrongAttemptId = true;
   t.is((await submit(first, 'b5', batchBody('b5', 2, 4))).status, 202);
   const page = await readAllResults(first, 'b5');
   t.true(page.results.every(({ id, text }) => text === expectedTextOf(id)));
@@ -142,7 +142,7 @@
 test.serial('a batch whose append takes effect late is not reported as not run', async (t) => {
   // The store applies the append seconds after the response was due, so the batch runs after all.
   const { platform, first, second, close } = await newSystem();
-  platform.store.faults.lateAppends = 1;
+  platform.store.faults.delayedAppends = 1;
   const answers = [await submit(first, 'b8', batchBody('b8', 1, 2))];
   await waitUntil(async () => (await readPage(second, 'b8')) !== null);
   t.true(answers.every(({ status }) => status !== 503 && status !== 429));
--- a/apps/host/tests/hostTermination.process.test.ts
+++ b/apps/host/tests/hostTermination.process.test.ts
@@ -11,14 +11,14 @@
   // the middle of it, while the trainer reads the results from another host.
   const { platform, system, first, close } = await newSystem();
   platform.engines.forEach(({ faults }) => {
-    faults.slowness = 20;
+    faults.slowdownFactor = 20;
   });
   t.is((await submit(first, 'b3', batchBody('b3', 2, 4))).status, 202);
   await waitUntil(() => platform.engines.some(({ runs }) => runs.length > 0));
   const runner = await findRunner(system.hosts);
   await runner.end('SIGKILL');
   platform.engines.forEach(({ faults }) => {
-    faults.slowness = 1;
+    faults.slowdownFactor = 1;
   });
   const survivor = system.hosts.find((host) => host !== runner) as typeof first;
   const page = await readAllResults(survivor, 'b3');
@@ -46,7 +46,7 @@
   // it: the next host resumes their streams after the last event.
   const { platform, system, first, close } = await newSystem();
   platform.engines.forEach(({ faults }) => {
-    faults.slowness = 15;
+    faults.slowdownFactor = 15;
   });
   t.is((await submit(first, 'b9', batchBody('b9', 2, 4))).status, 202);
   await waitUntil(() => platform.engines.some(({ runs }) => runs.length > 0));
--- a/apps/host/tests/testSystem.ts
+++ b/apps/host/tests/testSystem.ts
@@ -5,8 +5,8 @@
 const DOMAINS = ['detroit', 'cleveland'];
 
 /** A stand-in platform with engines, and hosts in both failure domains. */
-export const newSystem = async (enginesADomain = 2, count = 3) => {
-  const platform = await newPlatform({ domains: DOMAINS, enginesADomain });
+export const newSystem = async (enginesPerDomain = 2, count = 3) => {
+  const platform = await newPlatform({ domains: DOMAINS, enginesPerDomain });
   const domains = Array.from({ length: count }, (_, index) => DOMAINS[index % 2] ?? 'detroit');
   const system = await newHosts(platform, domains);
   const close = async (): Promise<void> => {
--- a/apps/platform-standin/src/newEngineServer.ts
+++ b/apps/platform-standin/src/newEngineServer.ts
@@ -11,11 +11,11 @@
   /** Accepts requests and never responds. */
   isUnresponsive: boolean;
   /** Number of events after which each stream is reset; null for no limit. */
-  breakAfter: number | null;
+  resetAfterEvents: number | null;
   /** Factor by which the interval between events is multiplied. */
-  slowness: number;
+  slowdownFactor: number;
   /** Responses carry the id of another request. */
-  isCrossed: boolean;
+  hasWrongAttemptId: boolean;
 }
 
 /** A request that this engine ran. */
@@ -39,7 +39,7 @@
 const headerText = (value: string | string[] | undefined): string => String(value ?? '');
 
 /** Number of events in an item's text; it depends only on the request's id, not on the engine. */
-export const eventsOf = (requestId: string): number =>
+export const expectedEventCount = (requestId: string): number =>
   4 + (Buffer.from(requestId).reduce((sum, byte) => sum + byte, 0) % 6);
 
 /**
@@ -50,9 +50,9 @@
 const newEngineServer = async (id: string, models: string[]): Promise<EngineServer> => {
   const faults: EngineFaults = {
     isUnresponsive: false,
-    breakAfter: null,
-    slowness: 1,
-    isCrossed: false,
+    resetAfterEvents: null,
+    slowdownFactor: 1,
+    hasWrongAttemptId: false,
   };
   const versions = new Map(models.map((model) => [model, 1]));
   const loading = new Set<string>();
@@ -113,18 +113,18 @@
     });
     response.writeHead(200, {
       'content-type': 'text/event-stream',
-      'attempt-id': faults.isCrossed ? 'another' : requestId,
+      'attempt-id': faults.hasWrongAttemptId ? 'another' : requestId,
       'server-stamp': `${id}.${requestId}`,
       'weight-versions': String(versions.get(model) ?? 1),
       'instance-load': '1,0,8',
     });
     let version = versions.get(model) ?? 1;
-    for (let event = lastEventId + 1; event <= eventsOf(requestId); event += 1) {
+    for (let event = lastEventId + 1; event <= expectedEventCount(requestId); event += 1) {
       await new Promise((resolve) => {
-        setTimeout(resolve, EVENT_INTERVAL_MS * faults.slowness);
+        setTimeout(resolve, EVENT_INTERVAL_MS * faults.slowdownFactor);
       });
       if (response.destroyed) return;
-      if (faults.breakAfter !== null && event - lastEventId > faults.breakAfter) {
+      if (faults.resetAfterEvents !== null && event - lastEventId > faults.resetAfterEvents) {
         request.socket.resetAndDestroy();
         return;
       }
--- a/apps/platform-standin/src/newPlatform.ts
+++ b/apps/platform-standin/src/newPlatform.ts
@@ -15,7 +15,7 @@
 export interface PlatformOptions {
   /** The failure domains; each gets its own engines and one upstream of the plain service. */
   domains: string[];
-  enginesADomain: number;
+  enginesPerDomain: number;
 }
 
 /** Creates the operator's initial settings; tests publish modified copies. */
@@ -68,7 +68,7 @@
 });
 
 /** Runs the system's external services on loopback: store, engines, plain service and duties. */
-const newPlatform = async ({ domains, enginesADomain }: PlatformOptions) => {
+const newPlatform = async ({ domains, enginesPerDomain }: PlatformOptions) => {
   const memory = newMemoryStore();
   const store = await newStoreServer(memory);
   const reports: { holder: string; token: number; window: number; counts: unknown }[] = [];
@@ -88,7 +88,7 @@
   const engines: (EngineServer & { domain: string; isListed: boolean })[] = [];
   const plain: (PlainServer & { domain: string })[] = [];
   for (const domain of domains) {
-    for (let index = 0; index < enginesADomain; index += 1) {
+    for (let index = 0; index < enginesPerDomain; index += 1) {
       const engine = await newEngineServer(`engine-${domain}-${index}`, [MODEL]);
       engines.push({ ...engine, domain, isListed: true });
     }
@@ -132,7 +132,7 @@
     engines,
     plain,
     publish,
-    nameVersion: (version: number): number =>
+    publishVersion: (version: number): number =>
       publish(`version/${MODEL}`, { model: MODEL, version }),
     close: async (): Promise<void> => {
       clearInterval(timer);
--- a/apps/platform-standin/src/newStoreServer.ts
+++ b/apps/platform-standin/src/newStoreServer.ts
@@ -22,9 +22,9 @@
   /** `well`: no fault; `busy`: responds 503; `silent`: never responds; `reset`: resets connections. */
   mode: 'well' | 'busy' | 'silent' | 'reset';
   /** Number of further appends that are written but get no response. */
-  lostAnswers: number;
+  lostResponses: number;
   /** Number of further appends that get no response and are written 1.5 s later. */
-  lateAppends: number;
+  delayedAppends: number;
 }
 
 const decodeFrames = (body: Buffer): Buffer[] => {
@@ -53,7 +53,7 @@
 const newStoreServer = async (
   memory: MemoryStore,
 ): Promise<LoopbackServer & { faults: StoreServerFaults }> => {
-  const faults: StoreServerFaults = { mode: 'well', lostAnswers: 0, lateAppends: 0 };
+  const faults: StoreServerFaults = { mode: 'well', lostResponses: 0, delayedAppends: 0 };
 
   const append = async (
     request: IncomingMessage,
@@ -67,14 +67,14 @@
       epoch: Number(query.get('epoch') ?? 0),
       sequence: Number(query.get('seq') ?? 0),
     };
-    if (faults.lateAppends > 0) {
-      faults.lateAppends -= 1;
+    if (faults.delayedAppends > 0) {
+      faults.delayedAppends -= 1;
       setTimeout(() => memory.append(topic, records, producer), LATE_APPEND_DELAY_MS);
       return;
     }
     const outcome = memory.append(topic, records, producer);
-    if (faults.lostAnswers > 0) {
-      faults.lostAnswers -= 1;
+    if (faults.lostResponses > 0) {
+      faults.lostResponses -= 1;
       return;
     }
     if (outcome.ok) {
--- a/apps/rollout/tests/rollout.process.test.ts
+++ b/apps/rollout/tests/rollout.process.test.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import newTrainerStandin from '@cyclamengate/app-standin/newTrainerStandin';
-import { keyOf } from '@cyclamengate/fakes/callers';
+import { demoKeyOf } from '@cyclamengate/fakes/callers';
 import newSystem from '@cyclamengate/fakes/newSystem';
 import { waitUntil } from '@cyclamengate/fakes/newProcesses';
 import test from 'ava';
@@ -17,14 +17,14 @@
   const system = await newSystem(2, standinOptions);
   const options = { entries: system.entries.map(({ url }) => url) };
   const rollouts = [
-    await system.startOne('rollout', 'rollout-1', 0, options),
-    await system.startOne('rollout', 'rollout-2', 1, options),
+    await system.startDaemon('rollout', 'rollout-1', 0, options),
+    await system.startDaemon('rollout', 'rollout-2', 1, options),
   ];
-  await system.begin();
+  await system.publishExampleAndWait();
   const trainer = newTrainerStandin({
     rollouts: rollouts.map(({ url }) => url),
     trainer: TRAINER,
-    key: keyOf('workshop'),
+    key: demoKeyOf('workshop'),
   });
   return { system, rollouts, trainer };
 };
@@ -74,7 +74,7 @@
     const secondTrainer = newTrainerStandin({
       rollouts: [rollouts[0]!.url],
       trainer: TRAINER,
-      key: keyOf('workshop'),
+      key: demoKeyOf('workshop'),
     });
     const reread = await secondTrainer.runStep(1, PROMPTS, GROUP_SIZE, 40);
     t.deepEqual(reread.samples, samples);
@@ -137,7 +137,7 @@
 test.serial('a suspended rollout of weights restores no old version on resuming', async (t) => {
   const { system, trainer } = await newTraining({ loadMs: 400 });
   t.teardown(system.stop);
-  await system.startOne('control', 'control-2', 1);
+  await system.startDaemon('control', 'control-2', 1);
   await trainer.publishWeights(1);
   await sleep(600);
   system.control.child.kill('SIGSTOP');
--- a/packages/batches/src/findMoves.ts
+++ b/packages/batches/src/findMoves.ts
@@ -1,4 +1,4 @@
-import { slownessOf, usualPaceOf } from '@cyclamengate/engines/chooseUpstream';
+import { computeSlowdown, findMedianLatencyMs } from '@cyclamengate/engines/chooseUpstream';
 import type { Candidate } from '@cyclamengate/engines/chooseUpstream';
 
 /** A running item. */
@@ -32,14 +32,14 @@
   candidates: Candidate[],
   isDraining: (id: string) => boolean,
 ): RunningItem[] => {
-  const usualPace = usualPaceOf(candidates);
+  const usualPace = findMedianLatencyMs(candidates);
   const slowEngines = new Set(
     candidates
-      .filter(({ pace }) => slownessOf(pace, usualPace) > SLOWDOWN_THRESHOLD)
+      .filter(({ latencyMs: pace }) => computeSlowdown(pace, usualPace) > SLOWDOWN_THRESHOLD)
       .map(({ entry }) => entry.id),
   );
   const freeSlots = candidates
-    .filter(({ entry, isResting }) => !isResting && !slowEngines.has(entry.id))
+    .filter(({ entry, isBackedOff: isResting }) => !isResting && !slowEngines.has(entry.id))
     .reduce((sum, { entry, load }) => sum + Math.max(0, entry.slots - load), 0);
   return running
     .filter(({ upstream }) => isDraining(upstream) || slowEngines.has(upstream))
--- a/packages/batches/src/newBatchRunner.ts
+++ b/packages/batches/src/newBatchRunner.ts
@@ -4,7 +4,7 @@
 import type { Health } from '@cyclamengate/engines/newHealth';
 import type { Loads } from '@cyclamengate/engines/newLoads';
 import type { Candidate } from '@cyclamengate/engines/chooseUpstream';
-import { versionOf } from '@cyclamengate/engines/upstreamEntry';
+import { getLoadedVersion } from '@cyclamengate/engines/upstreamEntry';
 import type UpstreamClient from '@cyclamengate/engines/UpstreamClient';
 import type { Candidates } from '@cyclamengate/gateway/newCandidates';
 import type { EffectiveSettings } from '@cyclamengate/gateway/newSettingsView';
@@ -152,9 +152,9 @@
       requestId: item.id,
       batch: batch.id,
       upstream: entry.id,
-      load: loads.at(entry.id),
+      load: loads.estimate(entry.id),
       slots: entry.slots,
-      version: batch.model === null ? null : versionOf(entry, batch.model),
+      version: batch.model === null ? null : getLoadedVersion(entry, batch.model),
       lastEventId: progress.lastEventId,
       run: task.runs,
     });
@@ -181,7 +181,7 @@
       isVersionAllowed: (version) =>
         version >= batch.leastVersion &&
         (!isSingleVersion || progress.versions.every((other) => other === version)),
-      onEvent: (gapMs) => health.observe(entry.id, gapMs),
+      onEvent: (gapMs) => health.recordLatency(entry.id, gapMs),
       onLoad: (load) => loads.report(entry.id, load),
       signal: AbortSignal.any([task.controller.signal, runController.signal]),
     });
--- a/packages/batches/src/newItemScorer.ts
+++ b/packages/batches/src/newItemScorer.ts
@@ -48,9 +48,9 @@
       lastEventId: null,
       service,
       isIdempotent: true,
-      mostUpstreams: MAX_UPSTREAMS_PER_CALL,
+      maxUpstreams: MAX_UPSTREAMS_PER_CALL,
       deadline: clock.now() + CALL_TIMEOUT_MS,
-      hedgeAfterMs: HEDGE_AFTER_MS,
+      minHedgeDelayMs: HEDGE_AFTER_MS,
     };
     return { route, outcome: await relay(request, signal) };
   };
@@ -70,7 +70,7 @@
           return { type: 'score', score: answer.signature };
         }
         if (answer.status === 500) failures += 1;
-        if (failures >= called.route.mostUpstreams) {
+        if (failures >= called.route.maxUpstreams) {
           log.warn('scoring.hopeless', { requestId: scoring.id, failures });
           return { type: 'failed' };
         }
--- a/packages/batches/src/newRunEndHandler.ts
+++ b/packages/batches/src/newRunEndHandler.ts
@@ -47,7 +47,7 @@
     }
     switch (end.type) {
       case 'whole':
-        health.succeeded(upstream);
+        health.recordSuccess(upstream);
         await score(task);
         return;
       case 'impossible':
@@ -57,17 +57,17 @@
         task.failures += end.status === 500 ? 1 : 0;
         task.failedRuns += 1;
         task.avoidedUpstream = upstream;
-        if (task.failures >= (route?.mostUpstreams ?? 1)) await abandon(task, 'failed too often');
+        if (task.failures >= (route?.maxUpstreams ?? 1)) await abandon(task, 'failed too often');
         else requeue(task, backoffMs(task));
         return;
       case 'not-run':
-        if (end.isUnreachable) health.failed(upstream, end.reason);
+        if (end.isUnreachable) health.recordFailure(upstream, end.reason);
         else refusals.note(upstream, state.batch.model);
         task.avoidedUpstream = upstream;
         requeue(task, 0);
         return;
       case 'interrupted':
-        if (end.isUpstreamFault) health.failed(upstream, end.reason);
+        if (end.isUpstreamFault) health.recordFailure(upstream, end.reason);
         task.avoidedUpstream = upstream;
         requeue(task, 0);
         break;
--- a/packages/batches/src/planStarts.ts
+++ b/packages/batches/src/planStarts.ts
@@ -1,6 +1,6 @@
 import chooseUpstream from '@cyclamengate/engines/chooseUpstream';
 import type { Candidate } from '@cyclamengate/engines/chooseUpstream';
-import { versionOf } from '@cyclamengate/engines/upstreamEntry';
+import { getLoadedVersion } from '@cyclamengate/engines/upstreamEntry';
 
 /** An item that waits for a slot. */
 export interface WaitingItem {
@@ -46,10 +46,10 @@
 
 const isEligible = (
   item: WaitingItem,
-  { entry, load, isResting }: Candidate,
+  { entry, load, isBackedOff: isResting }: Candidate,
   isRefusing: RefusalCheck,
 ): boolean => {
-  const version = item.model === null ? null : versionOf(entry, item.model);
+  const version = item.model === null ? null : getLoadedVersion(entry, item.model);
   const isVersionAllowed =
     version === null ||
     (version >= item.minVersion &&
@@ -69,7 +69,7 @@
   random?: () => number,
 ): PlannedStart[] => {
   const current = candidates
-    .filter(({ entry, load, isResting }) => load < entry.slots && !isResting)
+    .filter(({ entry, load, isBackedOff: isResting }) => load < entry.slots && !isResting)
     .map((candidate) => ({ ...candidate }));
   // Mostly all slots are taken, and sorting the items would be wasted work.
   if (current.length === 0) return [];
--- a/packages/batches/src/runOnce.ts
+++ b/packages/batches/src/runOnce.ts
@@ -1,7 +1,7 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { ReportedLoad } from '@cyclamengate/engines/newLoads';
 import type { UpstreamEntry } from '@cyclamengate/engines/upstreamEntry';
-import BrokenAnswer from '@cyclamengate/engines/BrokenAnswer';
+import TruncatedAnswer from '@cyclamengate/engines/TruncatedAnswer';
 import type UpstreamClient from '@cyclamengate/engines/UpstreamClient';
 import type { UpstreamAnswer, UpstreamRequest } from '@cyclamengate/engines/UpstreamClient';
 import type { EventReader } from './EventReader.js';
@@ -138,7 +138,7 @@
     const end = await stream();
     return end.type === 'whole' && runSignal.aborted ? interrupted(endReason()) : end;
   } catch (error) {
-    if (!(error instanceof BrokenAnswer)) throw error;
+    if (!(error instanceof TruncatedAnswer)) throw error;
     return interrupted(endReason(), !signal.aborted);
   } finally {
     idleTimeout.end();
--- a/packages/batches/tests/helpers.ts
+++ b/packages/batches/tests/helpers.ts
@@ -52,8 +52,8 @@
 ): Candidate => ({
   entry: newEntry(id, entry),
   load: 0,
-  pace: 35,
-  isResting: false,
+  latencyMs: 35,
+  isBackedOff: false,
   isOwnDomain: true,
   isConnected: true,
   ...changes,
--- a/packages/batches/tests/newRunnerHost.ts
+++ b/packages/batches/tests/newRunnerHost.ts
@@ -1,4 +1,4 @@
-import BrokenAnswer from '@cyclamengate/engines/BrokenAnswer';
+import TruncatedAnswer from '@cyclamengate/engines/TruncatedAnswer';
 import newHealth from '@cyclamengate/engines/newHealth';
 import newLoads from '@cyclamengate/engines/newLoads';
 import UpstreamClient from '@cyclamengate/engines/UpstreamClient';
@@ -23,7 +23,7 @@
   isStream: false,
   isResumable: true,
   isSingleVersion: false,
-  mostUpstreams: 3,
+  maxUpstreams: 3,
   timeoutMs: 10_000,
   targetLatencyMs: 400,
   resultsDueMs: 7_500,
@@ -38,7 +38,7 @@
   const parts = newPartTexts(clock);
   const batches = newBatches({ clock, lifeMs: 120_000, parts });
   const view = newSettingsView(silentLog);
-  const limits = { mostHeaderBytes: 0, mostBodyBytes: 0, headerTimeoutMs: 0, idleTimeoutMs: 0 };
+  const limits = { maxHeaderBytes: 0, maxBodyBytes: 0, headerTimeoutMs: 0, idleTimeoutMs: 0 };
   view.put({ version: 1, routes: [route], services: [], customers: null, limits });
   const observed = {
     runs: [] as string[],
@@ -57,7 +57,7 @@
         signal.addEventListener('abort', resolve);
         resumeEngine.signal.addEventListener('abort', resolve);
       });
-      if (signal.aborted) throw new BrokenAnswer('cut');
+      if (signal.aborted) throw new TruncatedAnswer('cut');
     }
     yield Buffer.from(eventLine(2, 'two'));
   }
@@ -81,7 +81,7 @@
       return true;
     }
 
-    forget(): void {}
+    closeConnections(): void {}
   }
 
   const runner = newBatchRunner({
--- a/packages/batches/tests/planning.test.ts
+++ b/packages/batches/tests/planning.test.ts
@@ -100,7 +100,7 @@
   // One engine of three becomes four times slower without reporting it. Its items would end long
   // after their step is due.
   const candidates = [
-    newCandidate('slow', { pace: 140, load: 3 }),
+    newCandidate('slow', { latencyMs: 140, load: 3 }),
     newCandidate('a', { load: 7 }),
     newCandidate('b', { load: 7 }),
   ];
@@ -141,7 +141,7 @@
 });
 
 test('no item moves while all engines are equally slow', (t) => {
-  const candidates = [newCandidate('a', { pace: 140 }), newCandidate('b', { pace: 150 })];
+  const candidates = [newCandidate('a', { latencyMs: 140 }), newCandidate('b', { latencyMs: 150 })];
   const running = [{ key: 'one', upstream: 'b', expectedTokens: 900 }];
   t.deepEqual(findMoves(running, candidates, never), []);
 });
--- a/packages/batches/tests/runOnce.test.ts
+++ b/packages/batches/tests/runOnce.test.ts
@@ -1,4 +1,4 @@
-import BrokenAnswer from '@cyclamengate/engines/BrokenAnswer';
+import TruncatedAnswer from '@cyclamengate/engines/TruncatedAnswer';
 import UpstreamClient from '@cyclamengate/engines/UpstreamClient';
 import type { UpstreamOutcome, UpstreamRequest } from '@cyclamengate/engines/UpstreamClient';
 import type { UpstreamEntry } from '@cyclamengate/engines/upstreamEntry';
@@ -11,7 +11,7 @@
 
 async function* stream(lines: string[], end: 'whole' | 'broken'): AsyncGenerator<Buffer> {
   for (const line of lines) yield Buffer.from(line);
-  if (end === 'broken') throw new BrokenAnswer('reset');
+  if (end === 'broken') throw new TruncatedAnswer('reset');
 }
 
 interface RunOptions {
@@ -39,7 +39,7 @@
       return true;
     }
 
-    forget(): void {}
+    closeConnections(): void {}
   }
   const outcome = await runOnce({
     clock: newManualClock(),
--- a/packages/coordination/tests/newLease.test.ts
+++ b/packages/coordination/tests/newLease.test.ts
@@ -85,7 +85,7 @@
   const log = newMemoryLog();
   const clock = newManualClock();
   let isDelayed = true;
-  log.fate = (bodies) =>
+  log.chooseOutcome = (bodies) =>
     isDelayed && bodies.some((body) => body.includes('"holder":"slow"')) ? 'lands-late' : 'lands';
   const slow = newContender(log, clock, 'slow');
   await clock.advance(1_000);
@@ -93,7 +93,7 @@
   await clock.advance(1_000);
   t.truthy(quick.lease.holdFor(0));
   isDelayed = false;
-  log.landLate();
+  log.writeDelayed();
   await clock.advance(500);
   t.is(slow.lease.holdFor(0), null);
   t.truthy(quick.lease.holdFor(0));
@@ -126,10 +126,10 @@
   const clock = newManualClock();
   const { lease } = newContender(log, clock, 'first');
   await clock.advance(1_000);
-  clock.stepWall(3_600_000);
+  clock.stepWallClock(3_600_000);
   await clock.advance(500);
   t.truthy(lease.holdFor(0));
-  clock.stepWall(-7_200_000);
+  clock.stepWallClock(-7_200_000);
   await clock.advance(500);
   t.truthy(lease.holdFor(0));
 });
@@ -162,9 +162,9 @@
       );
       for (const [kind, forMs] of plan) {
         log.isDown = kind === 'down';
-        if (kind === 'land') log.landLate();
+        if (kind === 'land') log.writeDelayed();
         const isAppendFault = kind === 'answer-lost' || kind === 'lands-late' || kind === 'refused';
-        log.fate = () => (isAppendFault ? kind : 'lands');
+        log.chooseOutcome = () => (isAppendFault ? kind : 'lands');
         contenders.forEach(({ lease, setReadPaused }) =>
           setReadPaused(kind === 'reads-paused' && lease.holdFor(0) !== null),
         );
--- a/packages/engines/src/BrokenAnswer.ts
+++ b/packages/engines/src/TruncatedAnswer.ts
@@ -1,2 +1,2 @@
 /** Thrown while reading an answer's body if the body ends before it is complete. */
-export default class BrokenAnswer extends Error {}
+export default class TruncatedAnswer extends Error {}
--- a/packages/engines/src/UpstreamClient.ts
+++ b/packages/engines/src/UpstreamClient.ts
@@ -66,5 +66,5 @@
   abstract isConnected(entry: UpstreamEntry): boolean;
 
   /** Closes all connections to an upstream that has been removed. */
-  abstract forget(entry: UpstreamEntry): void;
+  abstract closeConnections(entry: UpstreamEntry): void;
 }
--- a/packages/engines/src/chooseUpstream.ts
+++ b/packages/engines/src/chooseUpstream.ts
@@ -7,9 +7,9 @@
   /** Estimated number of requests at the upstream, from all hosts. */
   load: number;
   /** Median time of a unit of work, in milliseconds; null while unknown. */
-  pace: number | null;
+  latencyMs: number | null;
   /** Whether the upstream is in back-off after a failure. */
-  isResting: boolean;
+  isBackedOff: boolean;
   isOwnDomain: boolean;
   /** Whether a connection is open, so that a request needs no new one. */
   isConnected: boolean;
@@ -25,12 +25,17 @@
 const NEW_CONNECTION_COST = 0.1;
 
 /** Median of the upstreams' latencies; null while none is known. */
-export const usualPaceOf = (upstreams: Candidate[]): number | null =>
-  median(upstreams.flatMap(({ pace }) => (pace === null ? [] : [pace])));
+export const findMedianLatencyMs = (upstreams: Candidate[]): number | null =>
+  median(upstreams.flatMap(({ latencyMs }) => (latencyMs === null ? [] : [latencyMs])));
 
 /** Ratio of an upstream's latency to the median; at least 1. */
-export const slownessOf = (pace: number | null, usual: number | null): number =>
-  pace === null || usual === null || usual === 0 ? 1 : Math.max(1, pace / usual);
+export const computeSlowdown = (
+  latencyMs: number | null,
+  medianLatencyMs: number | null,
+): number =>
+  latencyMs === null || medianLatencyMs === null || medianLatencyMs === 0
+    ? 1
+    : Math.max(1, latencyMs / medianLatencyMs);
 
 /**
  * Chooses the upstream on which a request is likely to finish first: the one with the lowest
@@ -41,12 +46,12 @@
   candidates: Candidate[],
   random: () => number = Math.random,
 ): Candidate | null => {
-  const available = candidates.filter(({ isResting }) => !isResting);
+  const available = candidates.filter(({ isBackedOff }) => !isBackedOff);
   const eligible = available.length > 0 ? available : candidates;
-  const medianLatencyMs = usualPaceOf(eligible);
+  const medianLatencyMs = findMedianLatencyMs(eligible);
   const estimateCost = (candidate: Candidate): number => {
-    const { entry, load, pace } = candidate;
-    const slowdown = slownessOf(pace, medianLatencyMs);
+    const { entry, load, latencyMs } = candidate;
+    const slowdown = computeSlowdown(latencyMs, medianLatencyMs);
     const utilization = (load + 1) / Math.max(1, entry.slots);
     // At a full upstream the request has to wait for a slot, which outweighs all other costs.
     const queueing = load >= entry.slots ? 1 + (load - entry.slots) / entry.slots : 0;
--- a/packages/engines/src/mostLoadsAtOnce.ts
+++ b/packages/engines/src/computeMaxConcurrentLoads.ts
@@ -8,7 +8,7 @@
  *
  * @param engines number of engines in the failure domain
  */
-const mostLoadsAtOnce = (engines: number): number =>
+const computeMaxConcurrentLoads = (engines: number): number =>
   Math.max(1, Math.floor(engines * CONCURRENT_LOAD_FRACTION));
 
-export default mostLoadsAtOnce;
+export default computeMaxConcurrentLoads;
--- a/packages/engines/src/findDueLoads.ts
+++ b/packages/engines/src/findDueLoads.ts
@@ -1,6 +1,6 @@
 import type { DueLoad } from './loadWeights.js';
 import assignEngines from './assignEngines.js';
-import { versionOf } from './upstreamEntry.js';
+import { getLoadedVersion } from './upstreamEntry.js';
 import type { UpstreamEntry } from './upstreamEntry.js';
 
 /**
@@ -49,12 +49,12 @@
   return newest.flatMap(({ model, version, learnedAt }) => {
     const ids = [...(assignments.get(model) ?? [])];
     const loadOrder = ids.flatMap((id) => usable.filter((entry) => entry.id === id));
-    const outdated = loadOrder.filter((entry) => versionOf(entry, model) < version);
+    const outdated = loadOrder.filter((entry) => getLoadedVersion(entry, model) < version);
     // Each time a turn passes, a further group may load, even if earlier groups have not finished.
     const groupSize = Math.max(1, Math.floor(loadOrder.length * CONCURRENT_LOAD_FRACTION));
     const dueCount = groupSize * (1 + Math.floor((now - learnedAt) / LOAD_TURN_MS));
     const isTooOldToServe = (entry: UpstreamEntry): boolean =>
-      version - versionOf(entry, model) > allowedLag(model);
+      version - getLoadedVersion(entry, model) > allowedLag(model);
     const unusable = outdated.filter(isTooOldToServe);
     const inTurn = outdated.filter((entry) => !isTooOldToServe(entry)).slice(0, dueCount);
     return [...unusable, ...inTurn].map((entry) => ({ entry, model, version }));
--- a/packages/engines/src/loadWeights.ts
+++ b/packages/engines/src/loadWeights.ts
@@ -1,7 +1,7 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
 import type { UpstreamEntry } from './upstreamEntry.js';
-import { runOf, versionOf } from './upstreamEntry.js';
+import { getIncarnationKey, getLoadedVersion } from './upstreamEntry.js';
 import type WeightOrders from './WeightOrders.js';
 
 const CHECK_INTERVAL_MS = 100;
@@ -33,13 +33,13 @@
    * The lease for the engines of this host's failure domain, or null unless this host holds it for
    * at least `reserveMs` more.
    */
-  hold: (reserveMs: number) => { token: number } | null;
+  getLease: (reserveMs: number) => { token: number } | null;
   /** Loads that are due, most urgent first. */
   findDue: () => DueLoad[];
   /** The current entry of an engine. */
-  find: (id: string) => UpstreamEntry | undefined;
+  findEngine: (id: string) => UpstreamEntry | undefined;
   /** Maximum number of engines of this failure domain that may load at the same time. */
-  mostAtOnce: () => number;
+  maxConcurrentLoads: () => number;
 }
 
 interface PendingLoad {
@@ -58,13 +58,13 @@
  * refused.
  */
 const loadWeights = async (options: LoadWeightsOptions, signal: AbortSignal): Promise<void> => {
-  const { clock, log, host, orders, hold, findDue, find, mostAtOnce } = options;
+  const { clock, log, host, orders, getLease, findDue, findEngine, maxConcurrentLoads } = options;
   const pendingLoads = new Map<string, PendingLoad>();
   const acceptedCounts = new Map<string, number>();
 
   const isFinished = (id: string, load: PendingLoad): boolean => {
-    const entry = find(id);
-    const isLoaded = entry !== undefined && versionOf(entry, load.model) >= load.version;
+    const entry = findEngine(id);
+    const isLoaded = entry !== undefined && getLoadedVersion(entry, load.model) >= load.version;
     return !entry || isLoaded || clock.now() >= load.deadline;
   };
 
@@ -75,7 +75,7 @@
 
   /** Asks the engine only if no count is cached, since its report lags by about 100 ms. */
   const countAcceptedOrders = async (entry: UpstreamEntry): Promise<number | null> =>
-    acceptedCounts.get(runOf(entry)) ??
+    acceptedCounts.get(getIncarnationKey(entry)) ??
     orders.countAccepted(entry, AbortSignal.timeout(ORDER_TIMEOUT_MS));
 
   const place = async (due: DueLoad): Promise<void> => {
@@ -83,7 +83,7 @@
     const load = { model, version, deadline: clock.now() + LOAD_TIMEOUT_MS };
     pendingLoads.set(entry.id, load);
     const afterOrders = await countAcceptedOrders(entry);
-    const lease = hold(ORDER_TIMEOUT_MS);
+    const lease = getLease(ORDER_TIMEOUT_MS);
     if (afterOrders === null || !lease) {
       log.warn('weights.not-ordered', { upstream: entry.id, model, isHeld: lease !== null });
       load.deadline = clock.now() + UNKNOWN_OUTCOME_DELAY_MS / 2;
@@ -103,24 +103,24 @@
       outcome,
     });
     if (outcome === 'accepted') {
-      acceptedCounts.set(runOf(entry), afterOrders + 1);
+      acceptedCounts.set(getIncarnationKey(entry), afterOrders + 1);
       return;
     }
     // After any other outcome the cached count may be wrong, so the engine is asked again.
-    acceptedCounts.delete(runOf(entry));
+    acceptedCounts.delete(getIncarnationKey(entry));
     load.deadline =
       clock.now() +
       (outcome === 'conflict' ? UNKNOWN_OUTCOME_DELAY_MS / 3 : UNKNOWN_OUTCOME_DELAY_MS);
   };
 
   const startDue = (): void => {
-    if (!hold(2 * ORDER_TIMEOUT_MS)) {
+    if (!getLease(2 * ORDER_TIMEOUT_MS)) {
       acceptedCounts.clear();
       return;
     }
     findDue()
       .filter(({ entry }) => !pendingLoads.has(entry.id))
-      .slice(0, Math.max(0, mostAtOnce() - pendingLoads.size))
+      .slice(0, Math.max(0, maxConcurrentLoads() - pendingLoads.size))
       .forEach((due) => {
         if (!pendingLoads.has(due.entry.id)) place(due);
       });
@@ -129,7 +129,7 @@
   while (!signal.aborted) {
     removeFinished();
     startDue();
-    const pauseMs = hold(0) ? CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS;
+    const pauseMs = getLease(0) ? CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS;
     await clock.sleepUntil(clock.now() + pauseMs, signal);
   }
 };
--- a/packages/engines/src/newAllowedLags.ts
+++ b/packages/engines/src/newAllowedLags.ts
@@ -10,10 +10,10 @@
 
   return {
     /** @param newest the newest announced version when the step arrived */
-    note: (model: string, newest: number, leastVersion: number): void => {
+    set: (model: string, newest: number, leastVersion: number): void => {
       lags.set(model, Math.max(0, newest - leastVersion));
     },
-    of: (model: string): number => lags.get(model) ?? DEFAULT_ALLOWED_LAG_VERSIONS,
+    get: (model: string): number => lags.get(model) ?? DEFAULT_ALLOWED_LAG_VERSIONS,
   };
 };
 
--- a/packages/engines/src/newDirectory.ts
+++ b/packages/engines/src/newDirectory.ts
@@ -1,6 +1,6 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
-import { isSameRun } from './upstreamEntry.js';
+import { isSameIncarnation } from './upstreamEntry.js';
 import type { UpstreamEntry } from './upstreamEntry.js';
 
 /**
@@ -40,7 +40,7 @@
     // A new version is not logged: one line per engine and step on every host would hide all
     // others.
     const hasChanged =
-      !before || before.isDraining !== entry.isDraining || !isSameRun(before, entry);
+      !before || before.isDraining !== entry.isDraining || !isSameIncarnation(before, entry);
     if (!hasChanged) return;
     const { id, service, failureDomain, isDraining, isSpot, models } = entry;
     log.info('upstream.listed', {
@@ -57,18 +57,18 @@
     put: (entry: UpstreamEntry): void => {
       const before = listed.get(entry.id)?.entry;
       // A restarted upstream keeps its id, and must not be mistaken for its previous incarnation.
-      if (before && !isSameRun(before, entry)) removeUpstream(entry.id, 'restarted');
+      if (before && !isSameIncarnation(before, entry)) removeUpstream(entry.id, 'restarted');
       logChange(entry, before);
       listed.set(entry.id, { entry, expiresAt: null });
     },
-    drop: (id: string): void => {
+    remove: (id: string): void => {
       const found = listed.get(id);
       if (!found) return;
       if (clock.now() >= graceUntil) removeUpstream(id, 'entry deleted');
       else found.expiresAt = graceUntil;
     },
     /** Starts the grace period for entries that expired while the store was unavailable. */
-    storeIsBack: (): void => {
+    startGracePeriod: (): void => {
       graceUntil = clock.now() + STORE_RECOVERY_GRACE_MS;
     },
     all: (service: string): UpstreamEntry[] => {
@@ -83,7 +83,7 @@
       removeExpired();
       return listed.get(id)?.entry;
     },
-    onGone: (listener: (entry: UpstreamEntry) => void): void => {
+    onRemoved: (listener: (entry: UpstreamEntry) => void): void => {
       listeners.push(listener);
     },
   };
--- a/packages/engines/src/newHealth.ts
+++ b/packages/engines/src/newHealth.ts
@@ -47,10 +47,10 @@
   };
 
   return {
-    succeeded: (id: string): void => {
+    recordSuccess: (id: string): void => {
       getOrCreate(id).failures = 0;
     },
-    failed: (id: string, reason: string): void => {
+    recordFailure: (id: string, reason: string): void => {
       const record = getOrCreate(id);
       const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** record.failures);
       record.failures += 1;
@@ -65,7 +65,7 @@
     /**
      * @param durationMs time of one unit of work: one event of a stream, or a complete plain call
      */
-    observe: (id: string, durationMs: number): void => {
+    recordLatency: (id: string, durationMs: number): void => {
       const record = getOrCreate(id);
       const isExpired = clock.now() >= record.latenciesExpireAt;
       record.latenciesMs = [...(isExpired ? [] : record.latenciesMs), durationMs].slice(
@@ -73,15 +73,15 @@
       );
       record.latenciesExpireAt = clock.now() + LATENCY_TTL_MS;
     },
-    isResting: (id: string): boolean => clock.now() < getOrCreate(id).backoffUntil,
+    isBackedOff: (id: string): boolean => clock.now() < getOrCreate(id).backoffUntil,
     /** Median time of a unit of work, in milliseconds; null with too few samples. */
-    pace: (id: string): number | null => {
+    getLatencyMs: (id: string): number | null => {
       const { latenciesMs, latenciesExpireAt } = getOrCreate(id);
       const isReliable =
         latenciesMs.length >= MIN_LATENCY_SAMPLES && clock.now() < latenciesExpireAt;
       return isReliable ? median(latenciesMs) : null;
     },
-    forget: (id: string): void => {
+    remove: (id: string): void => {
       healthById.delete(id);
     },
   };
--- a/packages/engines/src/newLoads.ts
+++ b/packages/engines/src/newLoads.ts
@@ -35,13 +35,13 @@
       reports.set(id, { load, localAtReport: countLocal(id), deadline });
     },
     /** @param read returns the requests that other hosts run at each upstream */
-    countOthers: (read: () => ReadonlyMap<string, number>): void => {
+    setRemoteLoads: (read: () => ReadonlyMap<string, number>): void => {
       readRemoteLoads = read;
     },
-    own: countLocal,
-    ownAll: (): Record<string, number> => Object.fromEntries(localCounts),
+    countLocal,
+    countAllLocal: (): Record<string, number> => Object.fromEntries(localCounts),
     /** Estimated number of requests at the upstream, from all hosts. */
-    at: (id: string): number => {
+    estimate: (id: string): number => {
       const report = reports.get(id);
       const remote = readRemoteLoads().get(id) ?? 0;
       if (!report || report.deadline < clock.now()) return countLocal(id) + remote;
--- a/packages/engines/src/planScale.ts
+++ b/packages/engines/src/planScale.ts
@@ -2,8 +2,8 @@
 
 /** Bounds on the number of a service's upstreams in each failure domain. */
 export interface ScaleBounds {
-  least: number;
-  most: number;
+  minUpstreams: number;
+  maxUpstreams: number;
 }
 
 /** Number of upstreams that should run in one failure domain. */
@@ -33,18 +33,18 @@
   peakItems: number,
   domains: number,
   entries: UpstreamEntry[],
-  { least, most }: ScaleBounds,
+  { minUpstreams, maxUpstreams }: ScaleBounds,
   isSpotAvailable: boolean,
 ): WantedUpstreams => {
   const usable = entries.filter(({ isDraining }) => !isDraining);
   const slots = Math.max(1, ...entries.map((entry) => entry.slots));
   const needed = Math.ceil(peakItems / slots / TARGET_UTILIZATION / Math.max(1, domains));
-  const wanted = Math.min(most, Math.max(least, needed));
+  const wanted = Math.min(maxUpstreams, Math.max(minUpstreams, needed));
   const ordinary = usable.filter(({ isSpot }) => !isSpot).length;
   const missing = Math.max(0, wanted - ordinary);
   return isSpotAvailable
-    ? { ordinary: Math.max(least, ordinary), spot: missing }
-    : { ordinary: Math.max(least, ordinary + missing), spot: 0 };
+    ? { ordinary: Math.max(minUpstreams, ordinary), spot: missing }
+    : { ordinary: Math.max(minUpstreams, ordinary + missing), spot: 0 };
 };
 
 export default planScale;
--- a/packages/engines/src/scaleUpstreams.ts
+++ b/packages/engines/src/scaleUpstreams.ts
@@ -30,7 +30,7 @@
   failureDomain: string;
   orders: UpstreamOrders;
   /** The lease for this failure domain, or null unless held for at least `reserveMs` more. */
-  hold: (reserveMs: number) => { token: number } | null;
+  getLease: (reserveMs: number) => { token: number } | null;
   services: () => ScaledService[];
   entries: (service: string) => UpstreamEntry[];
   /** Number of currently open items of batches, on all hosts. */
@@ -48,7 +48,8 @@
   options: ScaleUpstreamsOptions,
   signal: AbortSignal,
 ): Promise<void> => {
-  const { clock, log, host, failureDomain, orders, hold, services, entries, openItems } = options;
+  const { clock, log, host, failureDomain, orders, getLease, services, entries, openItems } =
+    options;
   const peaks = new Map<string, ReturnType<typeof newSlidingMaximum>>();
   const lastOrders = new Map<string, PlacedOrder>();
   const spotRetryAt = new Map<string, number>();
@@ -69,7 +70,7 @@
     const key = `${service} ${isSpot ? 'spot' : 'ordinary'}`;
     const previous = lastOrders.get(key);
     const isPending = previous?.wanted === wanted && clock.now() < previous.deadline;
-    const lease = hold(ORDER_TIMEOUT_MS);
+    const lease = getLease(ORDER_TIMEOUT_MS);
     if (wanted === running || isPending || !lease) return null;
     const order = { service, failureDomain, wanted, isSpot, holder: host };
     const outcome = await orders.place(
@@ -101,7 +102,7 @@
 
   while (!signal.aborted) {
     for (const scaled of services()) {
-      if (hold(0)) await scale(scaled);
+      if (getLease(0)) await scale(scaled);
       else updatePeak(scaled.service);
     }
     await clock.sleepUntil(clock.now() + CHECK_INTERVAL_MS, signal);
--- a/packages/engines/src/upstreamEntry.ts
+++ b/packages/engines/src/upstreamEntry.ts
@@ -22,12 +22,12 @@
 }
 
 /** Identifies one incarnation of an upstream. */
-export const runOf = ({ id, startedAt }: UpstreamEntry): string => `${id}@${startedAt}`;
+export const getIncarnationKey = ({ id, startedAt }: UpstreamEntry): string => `${id}@${startedAt}`;
 
 /** Whether two entries of one id describe the same incarnation of the upstream. */
-export const isSameRun = (left: UpstreamEntry, right: UpstreamEntry): boolean =>
+export const isSameIncarnation = (left: UpstreamEntry, right: UpstreamEntry): boolean =>
   left.startedAt === right.startedAt && left.host === right.host && left.port === right.port;
 
 /** The version of a model that an upstream holds; 0 if it does not hold the model. */
-export const versionOf = (entry: UpstreamEntry, model: string): number =>
+export const getLoadedVersion = (entry: UpstreamEntry, model: string): number =>
   entry.models.find((loaded) => loaded.model === model)?.version ?? 0;
--- a/packages/engines/tests/loadWeights.test.ts
+++ b/packages/engines/tests/loadWeights.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import loadWeights from '../src/loadWeights.js';
 import type { UpstreamEntry } from '../src/upstreamEntry.js';
-import { versionOf } from '../src/upstreamEntry.js';
+import { getLoadedVersion } from '../src/upstreamEntry.js';
 import WeightOrders from '../src/WeightOrders.js';
 import type { WeightOrder, WeightOrderOutcome } from '../src/WeightOrders.js';
 import { newEntry, silentLog } from './helpers.js';
@@ -43,7 +43,7 @@
     port: new FakeOrders(),
     find: (id: string) => known.get(id),
     carryOutLate: (): void => late.splice(0).forEach(carryOut),
-    version: (id: string): number => versionOf(known.get(id) as UpstreamEntry, 'x'),
+    version: (id: string): number => getLoadedVersion(known.get(id) as UpstreamEntry, 'x'),
   };
 };
 
@@ -57,7 +57,7 @@
   const findDue = () =>
     ids
       .map((id) => engines.find(id) as UpstreamEntry)
-      .filter((entry) => versionOf(entry, 'x') < state.version)
+      .filter((entry) => getLoadedVersion(entry, 'x') < state.version)
       .map((entry) => ({ entry, model: 'x', version: state.version, mustWaitForRuns: false }));
   const running = loadWeights(
     {
@@ -65,10 +65,10 @@
       log: silentLog,
       host: 'a',
       orders: engines.port,
-      hold: () => (state.token === null ? null : { token: state.token }),
+      getLease: () => (state.token === null ? null : { token: state.token }),
       findDue,
-      find: engines.find,
-      mostAtOnce: () => 1,
+      findEngine: engines.find,
+      maxConcurrentLoads: () => 1,
     },
     stop.signal,
   );
--- a/packages/engines/tests/placing.test.ts
+++ b/packages/engines/tests/placing.test.ts
@@ -12,8 +12,8 @@
 const candidate = (id: string, changes: Partial<Candidate> = {}): Candidate => ({
   entry: newEntry(id),
   load: 0,
-  pace: 35,
-  isResting: false,
+  latencyMs: 35,
+  isBackedOff: false,
   isOwnDomain: true,
   isConnected: true,
   ...changes,
@@ -36,7 +36,7 @@
 test('a slow upstream is avoided while others have free slots', (t) => {
   // An engine becomes four times slower without reporting it. By load alone it would be chosen, and
   // all of its answers would be late.
-  const slow = candidate('slow', { load: 0, pace: 140 });
+  const slow = candidate('slow', { load: 0, latencyMs: 140 });
   t.is(chooseId([slow, candidate('a', { load: 3 }), candidate('b', { load: 4 })]), 'a');
 });
 
@@ -44,7 +44,10 @@
   // All upstreams of a service failed once. Refusing all requests until the back-off ends would
   // turn a brief failure into an outage.
   t.is(
-    chooseId([candidate('a', { isResting: true, load: 1 }), candidate('b', { isResting: true })]),
+    chooseId([
+      candidate('a', { isBackedOff: true, load: 1 }),
+      candidate('b', { isBackedOff: true }),
+    ]),
     'b',
   );
 });
@@ -54,18 +57,18 @@
   // is tried less and less often, but never excluded permanently.
   const clock = newManualClock();
   const health = newHealth(clock, silentLog);
-  health.failed('a', 'reset');
-  t.true(health.isResting('a'));
+  health.recordFailure('a', 'reset');
+  t.true(health.isBackedOff('a'));
   await clock.advance(350);
-  t.false(health.isResting('a'));
-  health.failed('a', 'reset');
+  t.false(health.isBackedOff('a'));
+  health.recordFailure('a', 'reset');
   await clock.advance(350);
-  t.true(health.isResting('a'));
+  t.true(health.isBackedOff('a'));
   await clock.advance(300);
-  health.succeeded('a');
-  health.failed('a', 'reset');
+  health.recordSuccess('a');
+  health.recordFailure('a', 'reset');
   await clock.advance(350);
-  t.false(health.isResting('a'));
+  t.false(health.isBackedOff('a'));
 });
 
 test('an entry that expired during a store outage may be renewed', async (t) => {
@@ -75,9 +78,9 @@
   const directory = newDirectory(clock, silentLog);
   directory.put(newEntry('a'));
   directory.put(newEntry('b'));
-  directory.storeIsBack();
-  directory.drop('a');
-  directory.drop('b');
+  directory.startGracePeriod();
+  directory.remove('a');
+  directory.remove('b');
   t.is(directory.all('models').length, 2);
   directory.put(newEntry('a'));
   await clock.advance(2_500);
@@ -91,7 +94,7 @@
   // Some engines leave without draining: their entry is deleted 2 s before they stop serving.
   const directory = newDirectory(newManualClock(), silentLog);
   directory.put(newEntry('a'));
-  directory.drop('a');
+  directory.remove('a');
   t.deepEqual(directory.all('models'), []);
 });
 
@@ -100,7 +103,7 @@
   // must not be used for it.
   const directory = newDirectory(newManualClock(), silentLog);
   const removed: number[] = [];
-  directory.onGone(({ startedAt }) => removed.push(startedAt));
+  directory.onRemoved(({ startedAt }) => removed.push(startedAt));
   directory.put(newEntry('a', { startedAt: 1 }));
   directory.put(newEntry('a', { startedAt: 2 }));
   t.deepEqual(removed, [1]);
@@ -167,33 +170,33 @@
 test('the allowed version lag is taken from the steps of each model', (t) => {
   // One trainer accepts samples up to three versions old, another only those of the newest version.
   const lags = newAllowedLags();
-  t.is(lags.of('x'), 0);
-  lags.note('x', 10, 7);
-  lags.note('y', 4, 4);
-  t.is(lags.of('x'), 3);
-  t.is(lags.of('y'), 0);
+  t.is(lags.get('x'), 0);
+  lags.set('x', 10, 7);
+  lags.set('y', 4, 4);
+  t.is(lags.get('x'), 3);
+  t.is(lags.get('y'), 0);
 });
 
 test('one late event does not make an engine look slow', (t) => {
   // A stream pauses once while its engine reads a long prompt. If the engine counted as slow, its
   // items would be moved, each at the cost of a new connection and of processing its text again.
   const health = newHealth(newManualClock(), silentLog);
-  [45, 45, 600, 45, 45].forEach((gapMs) => health.observe('a', gapMs));
-  t.is(health.pace('a'), 45);
+  [45, 45, 600, 45, 45].forEach((gapMs) => health.recordLatency('a', gapMs));
+  t.is(health.getLatencyMs('a'), 45);
 });
 
 test('a slow engine is detected within a few events and tried again later', async (t) => {
   const clock = newManualClock();
   const health = newHealth(clock, silentLog);
-  Array.from({ length: 15 }, () => health.observe('a', 45));
-  Array.from({ length: 8 }, () => health.observe('a', 150));
-  t.is(health.pace('a'), 150);
+  Array.from({ length: 15 }, () => health.recordLatency('a', 45));
+  Array.from({ length: 8 }, () => health.recordLatency('a', 150));
+  t.is(health.getLatencyMs('a'), 150);
   await clock.advance(8_500);
-  t.is(health.pace('a'), null, 'its latency samples have expired');
+  t.is(health.getLatencyMs('a'), null, 'its latency samples have expired');
 });
 
 test('latency is unknown with too few events', (t) => {
   const health = newHealth(newManualClock(), silentLog);
-  [400, 45, 45].forEach((gapMs) => health.observe('a', gapMs));
-  t.is(health.pace('a'), null);
+  [400, 45, 45].forEach((gapMs) => health.recordLatency('a', gapMs));
+  t.is(health.getLatencyMs('a'), null);
 });
--- a/packages/engines/tests/planScale.test.ts
+++ b/packages/engines/tests/planScale.test.ts
@@ -8,7 +8,7 @@
 import type { OrderOutcome, ScaleOrder } from '../src/UpstreamOrders.js';
 import { newEntry, silentLog } from './helpers.js';
 
-const BOUNDS = { least: 1, most: 4 };
+const BOUNDS = { minUpstreams: 1, maxUpstreams: 4 };
 
 test('every item of the peak gets a slot, on spot engines beyond the ordinary ones', (t) => {
   // Three trainers send 90 items at once to six engines of eight slots. The rest would wait for a
@@ -61,7 +61,7 @@
       host: 'a',
       failureDomain: 'detroit',
       orders: new FakeOrders(),
-      hold: () => (state.isHeld ? { token: 4 } : null),
+      getLease: () => (state.isHeld ? { token: 4 } : null),
       services: () => [{ service: 'models', bounds: BOUNDS, bootMs: 4_000 }],
       entries: () => entries,
       openItems: () => 30,
--- a/packages/engines/tests/weights.load.test.ts
+++ b/packages/engines/tests/weights.load.test.ts
@@ -3,10 +3,10 @@
 import test from 'ava';
 import findDueLoads from '../src/findDueLoads.js';
 import loadWeights from '../src/loadWeights.js';
-import mostLoadsAtOnce from '../src/mostLoadsAtOnce.js';
+import computeMaxConcurrentLoads from '../src/computeMaxConcurrentLoads.js';
 import assignEngines from '../src/assignEngines.js';
 import type { UpstreamEntry } from '../src/upstreamEntry.js';
-import { versionOf } from '../src/upstreamEntry.js';
+import { getLoadedVersion } from '../src/upstreamEntry.js';
 import WeightOrders from '../src/WeightOrders.js';
 import type { WeightOrder, WeightOrderOutcome } from '../src/WeightOrders.js';
 import { newEntry, silentLog } from './helpers.js';
@@ -92,13 +92,13 @@
         log: silentLog,
         host: domain,
         orders: fleet.orders,
-        hold: () => ({ token: 1 }),
+        getLease: () => ({ token: 1 }),
         findDue: () =>
           findDueLoads(fleet.entries(), newest, clock.now(), () => 1)
             .filter(({ entry }) => entry.failureDomain === domain)
             .map((due) => ({ ...due, mustWaitForRuns: false })),
-        find: fleet.find,
-        mostAtOnce: () => mostLoadsAtOnce(own().length),
+        findEngine: fleet.find,
+        maxConcurrentLoads: () => computeMaxConcurrentLoads(own().length),
       };
       return loadWeights(options, stop.signal);
     }),
@@ -112,7 +112,7 @@
       const usable = fleet
         .entries()
         .filter(({ id }) => assigned.has(id))
-        .filter((entry) => versionOf(entry, announced.model) >= announced.version - 1);
+        .filter((entry) => getLoadedVersion(entry, announced.model) >= announced.version - 1);
       if (step >= 3) fractions.push(Math.min(1, (usable.length * SLOTS) / STEP_ITEMS));
       await clock.advance(STEP_INTERVAL_MS / MODELS.length);
     }
@@ -134,7 +134,7 @@
 });
 
 test('a fraction of a failure domain loads at a time, and at least one engine', (t) => {
-  t.is(mostLoadsAtOnce(0), 1);
-  t.is(mostLoadsAtOnce(2), 1);
-  t.is(mostLoadsAtOnce(11), 2);
+  t.is(computeMaxConcurrentLoads(0), 1);
+  t.is(computeMaxConcurrentLoads(2), 1);
+  t.is(computeMaxConcurrentLoads(11), 2);
 });
--- a/packages/fakes/src/callers.ts
+++ b/packages/fakes/src/callers.ts
@@ -8,7 +8,7 @@
 }
 
 /** Returns the API key that the example settings define for a customer. */
-export const keyOf = (customer: string): string => `cgk_demo-${customer}`;
+export const demoKeyOf = (customer: string): string => `cgk_demo-${customer}`;
 
 /** Sends JSON with a customer's key and reads the complete response. */
 export const post = async (
@@ -20,7 +20,7 @@
   const response = await request(url, {
     method: 'POST',
     headers: {
-      authorization: `Bearer ${keyOf(customer)}`,
+      authorization: `Bearer ${demoKeyOf(customer)}`,
       'content-type': 'application/json',
       ...headers,
     },
@@ -31,4 +31,5 @@
 };
 
 /** Whether a streamed response ended with the `[DONE]` event instead of being truncated. */
-export const isWhole = ({ text }: CallerResponse): boolean => text.endsWith('data: [DONE]\n\n');
+export const isStreamComplete = ({ text }: CallerResponse): boolean =>
+  text.endsWith('data: [DONE]\n\n');
--- a/packages/fakes/src/newForwarder.ts
+++ b/packages/fakes/src/newForwarder.ts
@@ -44,12 +44,12 @@
 
   return {
     url: `http://127.0.0.1:${(server.address() as AddressInfo).port}`,
-    set: (nextMode: ForwarderMode): void => {
+    setMode: (nextMode: ForwarderMode): void => {
       mode = nextMode;
       if (nextMode === 'cut') sockets.forEach((socket) => socket.resetAndDestroy());
     },
     /** Forwards new connections again; connections that are already open never carry data again. */
-    healNewOnly: (): void => {
+    restoreNewConnections: (): void => {
       const existing = [...sockets];
       existing.forEach((socket) => socket.removeAllListeners('data'));
       existing.forEach((socket) => socket.pause());
--- a/packages/fakes/src/newManualClock.ts
+++ b/packages/fakes/src/newManualClock.ts
@@ -24,7 +24,7 @@
   /** Advances time as if the process were suspended: sleeps are resolved only by the next `advance`. */
   jump: (byMs: number) => void;
   /** Steps only the wall clock, as an administrator or a time service does. */
-  stepWall: (byMs: number) => void;
+  stepWallClock: (byMs: number) => void;
 }
 
 /** A clock whose time advances only when a test advances it. */
@@ -87,7 +87,7 @@
       time += byMs;
     }
 
-    stepWall(byMs: number): void {
+    stepWallClock(byMs: number): void {
       wallOffset += byMs;
     }
   }
--- a/packages/fakes/src/newMemoryLog.ts
+++ b/packages/fakes/src/newMemoryLog.ts
@@ -8,7 +8,7 @@
  * The simulated outcome of an append.
  * - `lands`: the records are written and the append succeeds
  * - `answer-lost`: the records are written, but the caller gets `unknown`
- * - `lands-late`: the records are written by `landLate`; the caller gets `unknown`
+ * - `lands-late`: the records are written by `writeDelayed`; the caller gets `unknown`
  * - `refused`: the records are not written and the caller gets `refused`
  */
 export type AppendOutcome = 'lands' | 'answer-lost' | 'lands-late' | 'refused';
@@ -17,9 +17,9 @@
   records: LogRecord[];
   isDown: boolean;
   /** Chooses the outcome of each append; `lands` by default. */
-  fate: (bodies: string[]) => AppendOutcome;
+  chooseOutcome: (bodies: string[]) => AppendOutcome;
   /** Writes the appends that `lands-late` delayed, in the order in which they were made. */
-  landLate: () => void;
+  writeDelayed: () => void;
   /** Removes all records before an offset, as the log's retention does. */
   trimBefore: (offset: number) => void;
   /** Appends a record as another process would, unaffected by the simulated faults. */
@@ -44,11 +44,11 @@
 
     isDown = false;
 
-    fate: (bodies: string[]) => AppendOutcome = () => 'lands';
+    chooseOutcome: (bodies: string[]) => AppendOutcome = () => 'lands';
 
     async append(bodies: string[]): Promise<Result<number, PlatformFault>> {
       if (this.isDown) return Err('not-sent');
-      switch (this.fate(bodies)) {
+      switch (this.chooseOutcome(bodies)) {
         case 'refused':
           return Err('refused');
         case 'lands-late':
@@ -71,7 +71,7 @@
       return Ok({ records, end, first: this.records[0]?.offset ?? end });
     }
 
-    landLate(): void {
+    writeDelayed(): void {
       const due = delayed;
       delayed = [];
       due.flat().forEach((body) => put(this, body));
--- a/packages/fakes/src/newSystem.ts
+++ b/packages/fakes/src/newSystem.ts
@@ -4,7 +4,7 @@
 import type { PlatformStandinOptions } from '@cyclamengate/app-standin/newPlatformStandin';
 import digest from '@cyclamengate/common/digest';
 import { request } from 'undici';
-import { isWhole, keyOf, post } from './callers.js';
+import { isStreamComplete, demoKeyOf, post } from './callers.js';
 import newForwarder from './newForwarder.js';
 import type { Forwarder } from './newForwarder.js';
 import newProcesses, { ROOT, waitUntil } from './newProcesses.js';
@@ -24,7 +24,7 @@
   const forwarders: Forwarder[] = [];
   const daemons: Awaited<ReturnType<typeof processes.startDaemon>>[] = [];
 
-  const startOne = async (
+  const startDaemon = async (
     app: string,
     id: string,
     domainIndex: number,
@@ -47,9 +47,9 @@
   };
 
   for (let index = 0; index < entries; index += 1) {
-    await startOne('entry', `entry-${index + 1}`, index);
+    await startDaemon('entry', `entry-${index + 1}`, index);
   }
-  const control = await startOne('control', 'control-1', 0);
+  const control = await startDaemon('control', 'control-1', 0);
   const first = daemons[0]!;
 
   /** Starts a daemon whose connections to the platform pass through a forwarder. */
@@ -65,27 +65,30 @@
     const throughForwarder = Object.fromEntries(
       services.map((service) => [service, forwarder.url]),
     );
-    const daemon = await startOne(app, id, domainIndex, { ...options, platform: throughForwarder });
+    const daemon = await startDaemon(app, id, domainIndex, {
+      ...options,
+      platform: throughForwarder,
+    });
     return { forwarder, daemon };
   };
 
   const readExample = (): Promise<string> => readFile(EXAMPLE_PATH, 'utf8');
 
   /** Returns the example settings with every occurrence of a text replaced. */
-  const exampleWith = async (text: string, replacement: string): Promise<string> => {
+  const replaceInExample = async (text: string, replacement: string): Promise<string> => {
     const example = await readExample();
     if (!example.includes(text)) throw new Error(`the example settings do not contain ${text}`);
     return example.replaceAll(text, replacement);
   };
 
   /** Returns the example settings with a customer's key withdrawn. */
-  const exampleWithoutKey = async (customer: string): Promise<string> => {
-    const line = `digest: ${digest(keyOf(customer))}`;
+  const withdrawKeyInExample = async (customer: string): Promise<string> => {
+    const line = `digest: ${digest(demoKeyOf(customer))}`;
     return (await readExample()).replace(line, `${line}\n        withdrawn: true`);
   };
 
   /** Appends records of an unrelated writer, so that the log's retention drops older records. */
-  const appendForeign = async (count: number): Promise<void> => {
+  const appendForeignRecords = async (count: number): Promise<void> => {
     const bodies = Array.from({ length: count }, () => '{"foreign":true}');
     const response = await request(`${platform.url}/log/append`, {
       method: 'POST',
@@ -126,7 +129,7 @@
       '30',
     ]);
 
-  const complete = (
+  const requestCompletion = (
     entry: StartedDaemon,
     customer: string,
     fields: Record<string, unknown> = {},
@@ -140,13 +143,15 @@
     );
 
   /** Publishes the example settings and waits until every entry serves requests. */
-  const begin = async (): Promise<void> => {
+  const publishExampleAndWait = async (): Promise<void> => {
     const published = await publishExample();
     if (published.status !== 0) throw new Error(published.text);
     const entryDaemons = daemons.filter(({ id }) => id.startsWith('entry'));
     await Promise.all(
       entryDaemons.map((entry) =>
-        waitUntil(`${entry.id} serves`, async () => isWhole(await complete(entry, 'players'))),
+        waitUntil(`${entry.id} serves`, async () =>
+          isStreamComplete(await requestCompletion(entry, 'players')),
+        ),
       ),
     );
   };
@@ -164,13 +169,13 @@
     daemons,
     entries: daemons.filter(({ id }) => id.startsWith('entry')),
     control,
-    startOne,
+    startDaemon,
     startBehindForwarder,
-    exampleWith,
-    exampleWithoutKey,
-    appendForeign,
-    begin,
-    complete,
+    replaceInExample,
+    withdrawKeyInExample,
+    appendForeignRecords,
+    publishExampleAndWait,
+    requestCompletion,
     publish,
     stop,
   };
--- a/packages/gateway/src/newCandidates.ts
+++ b/packages/gateway/src/newCandidates.ts
@@ -20,9 +20,9 @@
 
   const describe = (entry: UpstreamEntry): Candidate => ({
     entry,
-    load: loads.at(entry.id),
-    pace: health.pace(entry.id),
-    isResting: health.isResting(entry.id),
+    load: loads.estimate(entry.id),
+    latencyMs: health.getLatencyMs(entry.id),
+    isBackedOff: health.isBackedOff(entry.id),
     isOwnDomain: entry.failureDomain === failureDomain,
     isConnected: isConnected(entry),
   });
--- a/packages/gateway/src/newPlainRelay.ts
+++ b/packages/gateway/src/newPlainRelay.ts
@@ -48,10 +48,10 @@
 export interface RelayedRequest extends Omit<UpstreamRequest, 'deadline'> {
   service: string;
   isIdempotent: boolean;
-  mostUpstreams: number;
+  maxUpstreams: number;
   deadline: number;
   /** Minimum delay before a hedged request is sent, in milliseconds. */
-  hedgeAfterMs?: number;
+  minHedgeDelayMs?: number;
 }
 
 export interface PlainRelayOptions {
@@ -103,7 +103,7 @@
           clock.now() >= request.deadline - TIMER_SLACK_MS &&
           clock.now() < startedAt + FIRST_BYTE_TIMEOUT_MS;
         if (isUpstreamFailure && !isShortDeadline && !signal.aborted)
-          health.failed(entry.id, fault.reason);
+          health.recordFailure(entry.id, fault.reason);
         return fault.type === 'not-run'
           ? { type: 'not-run', reason: fault.reason }
           : { type: 'failed', reason: fault.reason };
@@ -112,15 +112,15 @@
       if (answer.load) loads.report(entry.id, answer.load);
       const body = await readAnswerBody(answer);
       if (body === null) {
-        if (!signal.aborted) health.failed(entry.id, 'answer broken off');
+        if (!signal.aborted) health.recordFailure(entry.id, 'answer broken off');
         return { type: 'failed', reason: 'answer broken off' };
       }
       if (answer.status < 300 && answer.signature === null) {
-        health.failed(entry.id, 'unsigned answer');
+        health.recordFailure(entry.id, 'unsigned answer');
         return { type: 'failed', reason: 'unsigned answer' };
       }
-      health.succeeded(entry.id);
-      health.observe(entry.id, clock.now() - startedAt);
+      health.recordSuccess(entry.id);
+      health.recordLatency(entry.id, clock.now() - startedAt);
       const { status, headers, signature } = answer;
       return { type: 'answer', answer: { status, headers, signature, body } };
     } finally {
@@ -128,8 +128,11 @@
     }
   };
 
-  const computeHedgeDelayMs = ({ pace }: Candidate, { hedgeAfterMs = 0 }: RelayedRequest): number =>
-    Math.max(hedgeAfterMs, MIN_HEDGE_DELAY_MS, pace === null ? 0 : pace * HEDGE_LATENCY_FACTOR);
+  const computeHedgeDelayMs = (
+    { latencyMs: pace }: Candidate,
+    { minHedgeDelayMs = 0 }: RelayedRequest,
+  ): number =>
+    Math.max(minHedgeDelayMs, MIN_HEDGE_DELAY_MS, pace === null ? 0 : pace * HEDGE_LATENCY_FACTOR);
 
   /** An answer is final unless it is a server error, which is retried if that is allowed. */
   const isFinal = (result: Attempt): boolean =>
@@ -182,7 +185,7 @@
     };
 
     const mayStart = (): boolean =>
-      tried.size < request.mostUpstreams && (request.isIdempotent || !hasRun) && !signal.aborted;
+      tried.size < request.maxUpstreams && (request.isIdempotent || !hasRun) && !signal.aborted;
 
     const startNext = (): Candidate | null => {
       const next = mayStart() ? chooseUpstream(candidates(request.service, tried)) : null;
--- a/packages/gateway/src/newStreamRelay.ts
+++ b/packages/gateway/src/newStreamRelay.ts
@@ -5,7 +5,7 @@
 import type { Candidate } from '@cyclamengate/engines/chooseUpstream';
 import type { Health } from '@cyclamengate/engines/newHealth';
 import type { Loads } from '@cyclamengate/engines/newLoads';
-import BrokenAnswer from '@cyclamengate/engines/BrokenAnswer';
+import TruncatedAnswer from '@cyclamengate/engines/TruncatedAnswer';
 import type UpstreamClient from '@cyclamengate/engines/UpstreamClient';
 import type { UpstreamAnswer } from '@cyclamengate/engines/UpstreamClient';
 import type { Candidates } from './newCandidates.js';
@@ -75,7 +75,7 @@
       if (outcome.type === 'fault') {
         lastReason = outcome.fault.reason;
         if (outcome.fault.type === 'not-run') return 'not-run';
-        health.failed(entry.id, lastReason);
+        health.recordFailure(entry.id, lastReason);
         return 'broken';
       }
       const { answer } = outcome;
@@ -90,9 +90,9 @@
       try {
         return await relayEvents(answer);
       } catch (error) {
-        if (!(error instanceof BrokenAnswer)) throw error;
+        if (!(error instanceof TruncatedAnswer)) throw error;
         lastReason = error.message;
-        if (!signal.aborted) health.failed(entry.id, lastReason);
+        if (!signal.aborted) health.recordFailure(entry.id, lastReason);
         return signal.aborted ? 'caller-gone' : 'broken';
       }
     };
@@ -100,7 +100,7 @@
     const mayStart = (): boolean =>
       !signal.aborted &&
       clock.now() < request.deadline &&
-      tried.size < request.mostUpstreams &&
+      tried.size < request.maxUpstreams &&
       (request.isIdempotent || !hasRun);
 
     while (mayStart()) {
@@ -112,7 +112,7 @@
       loads.end(next.entry.id);
       if (end === 'whole') {
         response.end();
-        health.succeeded(next.entry.id);
+        health.recordSuccess(next.entry.id);
         const answer = { status: 200, headers: {}, signature: null, body: Buffer.alloc(0) };
         return { type: 'answer', answer, upstream: next.entry.id, upstreams: tried.size };
       }
--- a/packages/gateway/src/operatorSettings.ts
+++ b/packages/gateway/src/operatorSettings.ts
@@ -26,7 +26,7 @@
   /** Latency target: answers within this time have the highest value, in milliseconds. */
   targetLatencyMs: number;
   /** Maximum number of upstreams that one request of a caller may be sent to. */
-  mostUpstreams: number;
+  maxUpstreams: number;
   /** Priority among routes; 0 is the highest. */
   priority: number;
   splits: Split[];
@@ -40,8 +40,8 @@
 
 /** Bounds on a service's upstreams per failure domain, and their prices. */
 export interface Scaling {
-  least: number;
-  most: number;
+  minUpstreams: number;
+  maxUpstreams: number;
   /** Time from an order until the upstream serves requests, in milliseconds. */
   bootMs: number;
   /** Price of a spot upstream as a fraction of the ordinary price; null if there are none. */
@@ -52,7 +52,7 @@
 export interface Service {
   name: string;
   /** Maximum number of connections that an upstream accepts from all hosts together. */
-  mostConnections: number;
+  maxConnections: number;
   /** Models that the service's upstreams run; empty for a plain service. */
   models: string[];
   scaling: Scaling | null;
@@ -66,8 +66,8 @@
 
 /** Limits on requests of callers, in bytes and milliseconds. */
 export interface Limits {
-  mostHeaderBytes: number;
-  mostBodyBytes: number;
+  maxHeaderBytes: number;
+  maxBodyBytes: number;
   headerTimeoutMs: number;
   idleTimeoutMs: number;
 }
--- a/packages/gateway/src/readAnswerBody.ts
+++ b/packages/gateway/src/readAnswerBody.ts
@@ -1,4 +1,4 @@
-import BrokenAnswer from '@cyclamengate/engines/BrokenAnswer';
+import TruncatedAnswer from '@cyclamengate/engines/TruncatedAnswer';
 import type { UpstreamAnswer } from '@cyclamengate/engines/UpstreamClient';
 
 /** Reads an answer's complete body; null if the body is truncated. */
@@ -7,7 +7,7 @@
   try {
     for await (const chunk of answer.body) chunks.push(chunk);
   } catch (error) {
-    if (error instanceof BrokenAnswer) return null;
+    if (error instanceof TruncatedAnswer) return null;
     throw error;
   }
   return Buffer.concat(chunks);
--- a/packages/gateway/tests/helpers.ts
+++ b/packages/gateway/tests/helpers.ts
@@ -1,5 +1,5 @@
 import type Clock from '@cyclamengate/common/Clock';
-import BrokenAnswer from '@cyclamengate/engines/BrokenAnswer';
+import TruncatedAnswer from '@cyclamengate/engines/TruncatedAnswer';
 import newDirectory from '@cyclamengate/engines/newDirectory';
 import newHealth from '@cyclamengate/engines/newHealth';
 import newLoads from '@cyclamengate/engines/newLoads';
@@ -29,7 +29,7 @@
 
 async function* yieldChunks(texts: string[], isTruncated: boolean): AsyncGenerator<Buffer> {
   for (const text of texts) yield Buffer.from(text);
-  if (isTruncated) throw new BrokenAnswer('reset');
+  if (isTruncated) throw new TruncatedAnswer('reset');
 }
 
 export const answering =
@@ -82,7 +82,7 @@
       return true;
     }
 
-    forget(): void {}
+    closeConnections(): void {}
   }
   const directory = newDirectory(clock, silentLog);
   Object.keys(behaviours).forEach((id) => directory.put(newEntry(id)));
@@ -112,7 +112,7 @@
   lastEventId: null,
   service: 'portal',
   isIdempotent: true,
-  mostUpstreams: 3,
+  maxUpstreams: 3,
   deadline: clock.now() + 1_500,
   ...changes,
 });
--- a/packages/gateway/tests/newPlainRelay.test.ts
+++ b/packages/gateway/tests/newPlainRelay.test.ts
@@ -106,7 +106,7 @@
     c: breaking,
     d: breaking,
   });
-  await relay(newRequest(clock, { mostUpstreams: 2 }), neverAborted);
+  await relay(newRequest(clock, { maxUpstreams: 2 }), neverAborted);
   t.is(sent.length, 2);
 });
 
@@ -133,5 +133,5 @@
   await clock.advance(95);
   const result = await outcome;
   t.true(result.type === 'refusal' && result.refusal.status === 504);
-  t.false(health.isResting('one'));
+  t.false(health.isBackedOff('one'));
 });
--- a/packages/hosts/src/newMembers.ts
+++ b/packages/hosts/src/newMembers.ts
@@ -49,7 +49,7 @@
  */
 const newMembers = (clock: Clock, host: string, readLifetimeMs: () => number) => {
   const knownHosts = new Map<string, KnownHost>();
-  /** The view holds all records written before this time; null until `noteView` is called. */
+  /** The view holds all records written before this time; null until `advanceView` is called. */
   let viewTime: number | null = null;
 
   let cachedLive: CachedResult<Member[]> | null = null;
--- a/packages/hosts/tests/leases.test.ts
+++ b/packages/hosts/tests/leases.test.ts
@@ -148,7 +148,7 @@
   const { clock, holders, first, second } = newHostPair();
   await clock.advance(2_000);
   const keeper = holders()[0] === '0' ? first.keeper : second.keeper;
-  clock.stepWall(4_000);
+  clock.stepWallClock(4_000);
   t.is(keeper.hold(0), null);
   await Promise.all([first.stop(), second.stop()]);
 });
@@ -159,7 +159,7 @@
   await clock.advance(2_000);
   const disconnected = holders()[0] === '0' ? first : second;
   disconnected.setDisconnected(true);
-  clock.stepWall(-60_000);
+  clock.stepWallClock(-60_000);
   await clock.advance(TERM_MS);
   t.is(disconnected.keeper.hold(0), null);
   await Promise.all([first.stop(), second.stop()]);
--- a/packages/rollouts/tests/rollouts.test.ts
+++ b/packages/rollouts/tests/rollouts.test.ts
@@ -131,7 +131,7 @@
   const during = await readPage(clock, one, 0);
   t.true(during.ok && during.val.payloads.length === 0);
   log.isDown = false;
-  log.fate = () => (log.records.length % 2 === 0 ? 'answer-lost' : 'lands');
+  log.chooseOutcome = () => (log.records.length % 2 === 0 ? 'answer-lost' : 'lands');
   t.true(hasEachSlotOnce(await readAll(clock, two)));
 });
 
--- a/packages/routing/src/newAdmission.ts
+++ b/packages/routing/src/newAdmission.ts
@@ -32,12 +32,13 @@
   /** The other live entries, with their running requests and their demand. */
   otherEntries: () => Member[];
   /** Number of a customer's requests that run on this host, in all services. */
-  inFlightOf: (customer: string) => number;
+  countInFlight: (customer: string) => number;
 }
 
 /** Admission control for one service: enforces shares, limits and deadlines. */
 const newAdmission = (options: AdmissionOptions) => {
-  const { clock, service, policy, reservedPart, readSettings, otherEntries, inFlightOf } = options;
+  const { clock, service, policy, reservedPart, readSettings, otherEntries, countInFlight } =
+    options;
   const runningByCustomer = new Map<string, number>();
   let localSlots = 1;
   let runningTotal = 0;
@@ -45,7 +46,7 @@
   const computeLocalLimit = (customer: string): number => {
     const limit = readSettings().customers.get(customer)?.maxInFlight ?? 1;
     const others = otherEntries().map(({ inFlight }) => inFlight[customer] ?? 0);
-    return proportionalShare(limit, inFlightOf(customer), others);
+    return proportionalShare(limit, countInFlight(customer), others);
   };
 
   const getShare = (customer: string): number => readSettings().customers.get(customer)?.share ?? 1;
@@ -75,7 +76,7 @@
   const queuePolicy = newQueuePolicy({
     getShare,
     mayStart: (customer) =>
-      inFlightOf(customer) < computeLocalLimit(customer) &&
+      countInFlight(customer) < computeLocalLimit(customer) &&
       (policy === 'fifo' || hasSlotFor(customer)),
   });
   const queue = new PQueue<InstanceType<QueuePolicy['queueClass']>, TicketOptions>({
@@ -175,7 +176,7 @@
     const waitSignal = AbortSignal.any([signal, started.signal]);
     const working = queue.add(
       async () => {
-        if (ticket.isGivenUp) return null;
+        if (ticket.isCancelled) return null;
         started.abort();
         return Ok(await runInSlot(ticket, work));
       },
--- a/packages/routing/src/newCallClaims.ts
+++ b/packages/routing/src/newCallClaims.ts
@@ -13,7 +13,7 @@
 
 /** A claimed call, whose outcome is to be recorded. */
 export interface ClaimedCall {
-  end: (outcome: CallOutcome['outcome']) => void;
+  recordOutcome: (outcome: CallOutcome['outcome']) => void;
 }
 
 /**
@@ -58,7 +58,9 @@
       const message = decision.val.reason;
       return Err({ code: 'idempotency-key-used', outcome: 'unknown', message, retryAt: null });
     }
-    return Ok({ end: (outcome) => recordOutcome(customer, idempotencyKey, attempt, outcome) });
+    return Ok({
+      recordOutcome: (outcome) => recordOutcome(customer, idempotencyKey, attempt, outcome),
+    });
   };
 };
 
--- a/packages/routing/src/newFairQueuePolicy.ts
+++ b/packages/routing/src/newFairQueuePolicy.ts
@@ -84,7 +84,7 @@
   /** Removes and returns a customer's oldest request that is not cancelled. */
   const shiftActive = ({ requests }: CustomerQueue): QueuedRequest | undefined => {
     let taken = requests.shift();
-    while (taken?.ticket.isGivenUp) taken = requests.shift();
+    while (taken?.ticket.isCancelled) taken = requests.shift();
     return taken;
   };
 
@@ -168,8 +168,8 @@
     }
 
     cancel(ticket: Ticket): void {
-      if (ticket.isGivenUp) return;
-      ticket.isGivenUp = true;
+      if (ticket.isCancelled) return;
+      ticket.isCancelled = true;
       removeQueued(ticket);
     }
 
--- a/packages/routing/src/newFifoQueuePolicy.ts
+++ b/packages/routing/src/newFifoQueuePolicy.ts
@@ -8,7 +8,7 @@
   let queue: QueuedRequest[] = [];
 
   const eligible = (): QueuedRequest[] => {
-    queue = queue.filter(({ ticket }) => !ticket.isGivenUp);
+    queue = queue.filter(({ ticket }) => !ticket.isCancelled);
     return queue.filter(({ ticket }) => mayStart(ticket.customer));
   };
 
@@ -42,7 +42,7 @@
     charge(): void {}
 
     cancel(ticket: Ticket): void {
-      ticket.isGivenUp = true;
+      ticket.isCancelled = true;
     }
 
     countQueued(): number {
--- a/packages/routing/src/refusal.ts
+++ b/packages/routing/src/refusal.ts
@@ -60,7 +60,7 @@
 };
 
 /** The HTTP status of a refusal. */
-export const statusOf = ({ code }: Refusal): number => STATUS_BY_CODE[code];
+export const getHttpStatus = ({ code }: Refusal): number => STATUS_BY_CODE[code];
 
 /** Creates a refusal of a request that certainly has not run. */
 export const notRun = (
--- a/packages/routing/src/ticket.ts
+++ b/packages/routing/src/ticket.ts
@@ -8,5 +8,5 @@
   cost: number;
   /** Time by which the request must have started, on the monotonic clock. */
   deadline: number;
-  isGivenUp: boolean;
+  isCancelled: boolean;
 }
--- a/packages/routing/tests/newAdmission.test.ts
+++ b/packages/routing/tests/newAdmission.test.ts
@@ -18,7 +18,7 @@
   });
   const settings = newEffectiveSettings({ '/': { revision: 0, subtree } });
   const running = new Map<string, number>();
-  const inFlightOf = (customer: string): number => running.get(customer) ?? 0;
+  const countInFlight = (customer: string): number => running.get(customer) ?? 0;
   const admission = newAdmission({
     clock,
     service: 'tone',
@@ -26,7 +26,7 @@
     reservedPart: 0.25,
     readSettings: () => settings,
     otherEntries: () => [],
-    inFlightOf,
+    countInFlight,
   });
   admission.setSlots(2);
   const started: string[] = [];
@@ -40,16 +40,16 @@
       priority: 'interactive',
       cost: 100,
       deadline: clock.now() + 600_000,
-      isGivenUp: false,
+      isCancelled: false,
       ...more,
     };
     return admission.run(
       ticket,
       async () => {
-        running.set(customer, inFlightOf(customer) + 1);
+        running.set(customer, countInFlight(customer) + 1);
         started.push(customer);
         await clock.sleepUntil(clock.now() + HOLD_MS);
-        running.set(customer, inFlightOf(customer) - 1);
+        running.set(customer, countInFlight(customer) - 1);
         return customer;
       },
       signal,
--- a/packages/routing/tests/newCallClaims.test.ts
+++ b/packages/routing/tests/newCallClaims.test.ts
@@ -36,11 +36,11 @@
     return claiming;
   };
   const unsent = await claim(first, 'k1');
-  if (unsent.ok) unsent.val.end('not-run');
+  if (unsent.ok) unsent.val.recordOutcome('not-run');
   await clock.advance(300);
   t.true((await claim(second, 'k1')).ok);
   const unknown = await claim(first, 'k2');
-  if (unknown.ok) unknown.val.end('unknown');
+  if (unknown.ok) unknown.val.recordOutcome('unknown');
   await clock.advance(300);
   t.false((await claim(second, 'k2')).ok);
 });
@@ -66,16 +66,16 @@
 // run.
 test('a claim that is written after it was abandoned does not permit a run', async (t) => {
   const { log, clock, first, second } = newTestClaims();
-  log.fate = (bodies) =>
+  log.chooseOutcome = (bodies) =>
     bodies.some((body) => body.includes('call-claim')) ? 'lands-late' : 'lands';
   const claiming = first('ledger', 'k1', 'd');
   await clock.advance(4_000);
   t.false((await claiming).ok);
-  log.fate = () => 'lands';
+  log.chooseOutcome = () => 'lands';
   const other = second('ledger', 'k1', 'd');
   await clock.advance(300);
   t.true((await other).ok);
-  log.landLate();
+  log.writeDelayed();
   await clock.advance(300);
   const third = first('ledger', 'k1', 'd');
   await clock.advance(300);
--- a/packages/usage/tests/usage.test.ts
+++ b/packages/usage/tests/usage.test.ts
@@ -196,14 +196,14 @@
   newReporter(log, clock, reports, 'first');
   const connected = newEntry(log, clock, 'near');
   const isolated = newEntry(log, clock, 'cut');
-  const originalFate = log.fate;
-  log.fate = (bodies) =>
+  const originalFate = log.chooseOutcome;
+  log.chooseOutcome = (bodies) =>
     bodies.some((body) => body.includes('"writer":"cut"')) ? 'refused' : 'lands';
   isolated.meter.add('players', newFigure(40));
   connected.meter.add('players', newFigure(2));
   await clock.advance(25_000);
   t.is(sumBilledTokens(reports), 2);
-  log.fate = originalFate;
+  log.chooseOutcome = originalFate;
   connected.meter.add('players', newFigure(1));
   await clock.advance(40_000);
   t.true(areRepeatsIdentical(reports));
@@ -216,12 +216,12 @@
   newReporter(log, clock, reports, 'first');
   const connected = newEntry(log, clock, 'near');
   const isolated = newEntry(log, clock, 'cut');
-  log.fate = (bodies) =>
+  log.chooseOutcome = (bodies) =>
     bodies.some((body) => body.includes('"writer":"cut"')) ? 'refused' : 'lands';
   isolated.meter.add('players', newFigure(40));
   connected.meter.add('players', newFigure(2));
   await clock.advance(25_000);
-  log.fate = () => 'lands';
+  log.chooseOutcome = () => 'lands';
   await clock.advance(40_000);
   t.true(areRepeatsIdentical(reports));
   t.is(sumBilledTokens(reports), 42);
--- a/scripts/ablate.js
+++ b/scripts/ablate.js
@@ -64,8 +64,8 @@
   ],
   scaling: [
     'packages/engines/src/planScale.ts',
-    'Math.min(most, Math.max(least, needed))',
-    'Math.min(most, Math.max(least, needed * 0))',
+    'Math.min(maxUpstreams, Math.max(minUpstreams, needed))',
+    'Math.min(maxUpstreams, Math.max(minUpstreams, needed * 0))',
   ],
   'longest first': [
     'packages/batches/src/planStarts.ts',
--- a/scripts/capacity.js
+++ b/scripts/capacity.js
@@ -11,7 +11,7 @@
 import { request } from 'undici';
 import digest from '@cyclamengate/common/digest';
 import newFold from '@cyclamengate/coordination/newFold';
-import { keyOf } from '@cyclamengate/fakes/callers';
+import { demoKeyOf } from '@cyclamengate/fakes/callers';
 import newProcesses, { sleep, waitUntil } from '@cyclamengate/fakes/newProcesses';
 
 const OUTPUT = 'docs/measurements';
@@ -43,7 +43,7 @@
       keys: Array.from({ length: customers }, (_, index) => ({
         id: `k${index}`,
         customer: `c${index}`,
-        digest: digest(keyOf(`c${index}`)),
+        digest: digest(demoKeyOf(`c${index}`)),
       })),
     },
   },
--- a/scripts/demo.js
+++ b/scripts/demo.js
@@ -6,7 +6,7 @@
  */
 import { parseArgs } from 'node:util';
 import { fetch } from 'undici';
-import { isWhole, keyOf, post } from '@cyclamengate/fakes/callers';
+import { isStreamComplete, demoKeyOf, post } from '@cyclamengate/fakes/callers';
 import newProcesses, { sleep, waitUntil } from '@cyclamengate/fakes/newProcesses';
 
 const { values } = parseArgs({
@@ -54,7 +54,7 @@
     max_tokens: 12,
     stream: true,
   };
-  return isWhole(await post(`${entry.url}/v1/completions`, customer, body));
+  return isStreamComplete(await post(`${entry.url}/v1/completions`, customer, body));
 };
 
 const sendCustomerRequests = async (entries) => {
@@ -102,7 +102,7 @@
   const trainer = newTrainer({
     rollouts: rollouts.map(({ url }) => url),
     trainer: deployment.trainer,
-    key: keyOf(deployment.trainerCustomer),
+    key: demoKeyOf(deployment.trainerCustomer),
   });
   for (let step = 1; step <= 2; step += 1) {
     await trainer.publishWeights(step);
--- a/scripts/experiments.js
+++ b/scripts/experiments.js
@@ -10,7 +10,7 @@
 import { request } from 'undici';
 import digest from '@cyclamengate/common/digest';
 import newProcesses, { sleep, waitUntil } from '@cyclamengate/fakes/newProcesses';
-import { isWhole, keyOf, post } from '@cyclamengate/fakes/callers';
+import { isStreamComplete, demoKeyOf, post } from '@cyclamengate/fakes/callers';
 
 const OUTPUT = 'docs/measurements';
 const MODEL = 'tone-assistant';
@@ -33,7 +33,7 @@
       keys: customers.map(({ id }) => ({
         id: `${id}-key`,
         customer: id,
-        digest: digest(keyOf(id)),
+        digest: digest(demoKeyOf(id)),
       })),
     },
   },
@@ -127,7 +127,7 @@
       };
       const sendRelayed = async () => {
         const body = { model: MODEL, prompt: 'x', max_tokens: TOKENS, stream: true };
-        if (!isWhole(await post(`${entry.url}/v1/completions`, 'players', body))) {
+        if (!isStreamComplete(await post(`${entry.url}/v1/completions`, 'players', body))) {
           throw new Error('a streamed response was truncated');
         }
       };
