--- a/apps/host/src/newBatchHandlers.ts
+++ b/apps/host/src/newBatchHandlers.ts
@@ -3,8 +3,8 @@
 import { refusalHeaders } from '@cyclamengate/adapter/callerRequest';
 import type { CallerRequest } from '@cyclamengate/adapter/callerRequest';
 import type { Item } from '@cyclamengate/batches/batchRecord';
-import keepOrSee from '@cyclamengate/batches/keepOrSee';
-import type { BatchKeeper } from '@cyclamengate/batches/newBatchKeeper';
+import storeBatch from '@cyclamengate/batches/storeBatch';
+import type { BatchWriter } from '@cyclamengate/batches/newBatchWriter';
 import type { BatchState } from '@cyclamengate/batches/newBatches';
 import newResultPages from '@cyclamengate/batches/newResultPages';
 import type Clock from '@cyclamengate/common/Clock';
@@ -35,7 +35,7 @@
   log: EventLog;
   store: BatchStore;
   /** Writes a record to the store, through other hosts if this one can't reach it. */
-  storeRecord: BatchKeeper['keep'];
+  storeRecord: BatchWriter['write'];
   readSettings: () => EffectiveSettings | null;
 }
 
@@ -110,7 +110,7 @@
       acceptedAt: clock.wallTime(),
       ...submitted.val,
     };
-    const outcome = await keepOrSee(
+    const outcome = await storeBatch(
       { clock, batches, keep: storeRecord },
       record,
       clock.now() + ACCEPT_TIMEOUT_MS,
--- a/apps/host/src/newBatchStore.ts
+++ b/apps/host/src/newBatchStore.ts
@@ -8,11 +8,11 @@
   Part,
 } from '@cyclamengate/batches/batchRecord';
 import newBatchHead from '@cyclamengate/batches/newBatchHead';
-import newPartTexts, { PART_LIFE_MS } from '@cyclamengate/batches/newPartTexts';
+import newPartialTexts, { PARTIAL_TEXT_RETENTION_MS } from '@cyclamengate/batches/newPartialTexts';
 import newRequestReader from '@cyclamengate/batches/newRequestReader';
 import newTexts from '@cyclamengate/batches/newTexts';
 import newRecordReader from '@cyclamengate/batches/newRecordReader';
-import type { Touch } from '@cyclamengate/batches/peerRouter';
+import type { StoreReachability } from '@cyclamengate/batches/peerRouter';
 import { encodeRecord } from '@cyclamengate/batches/recordPieces';
 import type Clock from '@cyclamengate/common/Clock';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
@@ -55,8 +55,8 @@
 const newBatchStore = (options: BatchStoreOptions) => {
   const { clock, log, store, host, incarnation, lifeMs, readIntervalFactor } = options;
 
-  const partTexts = newPartTexts(clock);
-  const batches = newBatches({ clock, lifeMs, parts: partTexts });
+  const partTexts = newPartialTexts(clock);
+  const batches = newBatches({ clock, retentionMs: lifeMs, parts: partTexts });
   const follower = newTopicFollower({
     clock,
     log,
@@ -99,7 +99,7 @@
     store,
     topic: PARTS_TOPIC,
     apply: (records) => {
-      partTexts.forgetOld();
+      partTexts.evictExpired();
       applyParts(records);
     },
   });
@@ -115,7 +115,7 @@
     log,
     store,
     topic: PARTS_TOPIC,
-    retentionMs: PART_LIFE_MS,
+    retentionMs: PARTIAL_TEXT_RETENTION_MS,
   });
 
   const writePart = async (part: Part, deadline: number): Promise<WriteOutcome> => {
@@ -154,7 +154,7 @@
     if (outcome !== 'written') batches.withdraw(batch.id);
   };
 
-  const checkStoreAccess = async (): Promise<Touch> => {
+  const checkStoreAccess = async (): Promise<StoreReachability> => {
     if (!(await follower.catchUp(clock.now() + CATCH_UP_TIMEOUT_MS))) return 'none';
     return clock.now() > follower.lastOutageEndedAt() + MIN_STEADY_MS ? 'steady' : 'new';
   };
@@ -171,7 +171,7 @@
     takeOver: ({ batch, texts: handedTexts, from }: Handover): void => {
       handedTexts.forEach(partTexts.apply);
       if (batches.begin(batch)) storeBegunBatch(batch, from);
-      else if (batches.adopt(batch)) recordTakeover(batch, from);
+      else if (batches.takeOver(batch)) recordTakeover(batch, from);
     },
     texts,
     requests: newRequestReader({ clock, log, readTexts: texts.read }),
--- a/apps/host/src/newHost.ts
+++ b/apps/host/src/newHost.ts
@@ -3,9 +3,9 @@
 import newHttpUpstreamClient from '@cyclamengate/adapter/newHttpUpstreamClient';
 import newSseReader from '@cyclamengate/adapter/newSseReader';
 import mayStartWork from '@cyclamengate/batches/mayStartWork';
-import newBatchKeeper from '@cyclamengate/batches/newBatchKeeper';
+import newBatchWriter from '@cyclamengate/batches/newBatchWriter';
 import newBatchRunner from '@cyclamengate/batches/newBatchRunner';
-import newCutWatch from '@cyclamengate/batches/newCutWatch';
+import newPartitionMonitor from '@cyclamengate/batches/newPartitionMonitor';
 import newItemScorer from '@cyclamengate/batches/newItemScorer';
 import newPeers from '@cyclamengate/batches/newPeers';
 import newPeerServer from '@cyclamengate/batches/newPeerServer';
@@ -117,8 +117,8 @@
     rank: ({ id, model }, hosts) => rankHosts(`batches/${model ?? id}`, hosts),
     beginHere: peerService.begin,
     hasBegunHere: peerService.hasBegun,
-    noteBegunHere: peerService.noteBegun,
-    heardBeginner: batchStore.batches.heardBeginner,
+    noteExecutorHere: peerService.noteBegun,
+    findReportedExecutor: batchStore.batches.findReportedExecutor,
   });
   const platform = followPlatform({
     clock,
@@ -132,11 +132,11 @@
   batchStore.batches.onAccepted(({ model, leastVersion }) => {
     if (model !== null) allowedLags.set(model, platform.newestVersion(model).version, leastVersion);
   });
-  const partitionWatch = newCutWatch({
+  const partitionWatch = newPartitionMonitor({
     clock,
     log,
     freshAt: batchStore.freshAt,
-    askOthers: peers.touch,
+    probePeers: peers.touch,
   });
   const runner = newBatchRunner({
     clock,
@@ -150,14 +150,14 @@
     scorer: newItemScorer({ clock, log, relay, readSettings: settingsView.read }),
     readSettings: settingsView.read,
     isOwner: (subject) => !isLeaving && coordination.owns(`batches/${subject}`),
-    mayWork: ({ isKept }) => {
+    mayWork: ({ isLogged }) => {
       const { freshAt, isUnreachable } = batchStore;
       const known = {
         freshAt: freshAt(),
-        isAway: isUnreachable(),
-        isCutOff: partitionWatch.isCutOff(),
+        isStoreUnavailable: isUnreachable(),
+        isPartitioned: partitionWatch.isPartitioned(),
       };
-      return mayStartWork(clock.now(), known, isKept);
+      return mayStartWork(clock.now(), known, isLogged);
     },
     isListed: (id) => directory.find(id) !== undefined,
     incarnation,
@@ -197,10 +197,10 @@
     health.remove(entry.id);
   });
 
-  const batchWriter = newBatchKeeper({
+  const batchWriter = newBatchWriter({
     clock,
     log,
-    write: batchStore.write,
+    writeHere: batchStore.write,
     askPeers: peers.keep,
     begin: peers.begin,
   });
@@ -208,7 +208,7 @@
     clock,
     log,
     store: batchStore,
-    storeRecord: batchWriter.keep,
+    storeRecord: batchWriter.write,
     readSettings: settingsView.read,
   });
   const callers = newCallerHandler({
--- a/packages/batches/src/mayStartWork.ts
+++ b/packages/batches/src/mayStartWork.ts
@@ -14,9 +14,9 @@
    */
   freshAt: number;
   /** Whether the store currently does not answer this host's reads. */
-  isAway: boolean;
+  isStoreUnavailable: boolean;
   /** Whether another host has read the batches since `freshAt`. */
-  isCutOff: boolean;
+  isPartitioned: boolean;
 }
 
 /**
@@ -32,12 +32,12 @@
  */
 const mayStartWork = (
   now: number,
-  { freshAt, isAway, isCutOff }: BatchesView,
+  { freshAt, isStoreUnavailable, isPartitioned }: BatchesView,
   isLogged: boolean,
 ): boolean => {
   if (now < freshAt + MAX_VIEW_AGE_MS) return true;
-  if (isCutOff) return false;
-  return !isLogged || (isAway && now < freshAt + MAX_VIEW_AGE_IN_OUTAGE_MS);
+  if (isPartitioned) return false;
+  return !isLogged || (isStoreUnavailable && now < freshAt + MAX_VIEW_AGE_IN_OUTAGE_MS);
 };
 
 export default mayStartWork;
--- a/packages/batches/src/newBatchDispatcher.ts
+++ b/packages/batches/src/newBatchDispatcher.ts
@@ -37,15 +37,15 @@
   /** Whether this host has begun a batch. */
   hasBegunHere: (batch: string) => boolean;
   /** Notes on this host that another host has begun a batch. */
-  noteBegunHere: (begun: BatchExecutor) => void;
+  noteExecutorHere: (begun: BatchExecutor) => void;
   /** Host that was reported to have begun a batch. */
-  heardBeginner: (batch: string) => BatchExecutor | null;
+  findReportedExecutor: (batch: string) => BatchExecutor | null;
 }
 
 /** Makes one host begin a batch that the store does not have yet. */
 const newBatchDispatcher = (options: BatchDispatcherOptions) => {
   const { log, calls, self, readPeers, rank } = options;
-  const { beginHere, hasBegunHere, noteBegunHere, heardBeginner } = options;
+  const { beginHere, hasBegunHere, noteExecutorHere, findReportedExecutor } = options;
 
   const isSelf = ({ host }: PeerAddress): boolean => host === self.host;
 
@@ -70,7 +70,7 @@
     });
 
   const reportExecutor = (at: PeerAddress, begun: BatchExecutor): Promise<PeerAnswer<void>> =>
-    callHost(at, () => noteBegunHere(begun), {
+    callHost(at, () => noteExecutorHere(begun), {
       name: 'noteBegun',
       run: (client, signal) => client.noteBegun.mutate(begun, { signal }),
     });
@@ -144,7 +144,7 @@
      * host may be late again and the store may have the batch before the record of that host.
      */
     begin: async (batch: Batch): Promise<void> => {
-      const reported = heardBeginner(batch.id);
+      const reported = findReportedExecutor(batch.id);
       const candidates = candidatesFor(batch, reported);
       await dispatch(batch, candidates, await askHasBegun(candidates, batch.id), reported);
     },
--- a/packages/batches/src/newBatchKeeper.ts
+++ b/packages/batches/src/newBatchWriter.ts
@@ -15,10 +15,10 @@
  */
 const BEGIN_AFTER_MS = 200;
 
-export interface BatchKeeperOptions {
+export interface BatchWriterOptions {
   clock: Clock;
   log: EventLog;
-  write: (record: BatchChange, deadline: number) => Promise<WriteOutcome>;
+  writeHere: (record: BatchChange, deadline: number) => Promise<WriteOutcome>;
   /** Asks other hosts to write a record. */
   askPeers: (record: BatchChange) => Promise<WriteOutcome>;
   /**
@@ -37,7 +37,7 @@
  * of 6 s then costs a step nothing instead of the whole step. Such a batch is never reported as
  * "not run".
  */
-const newBatchKeeper = ({ clock, log, write, askPeers, begin }: BatchKeeperOptions) => {
+const newBatchWriter = ({ clock, log, writeHere, askPeers, begin }: BatchWriterOptions) => {
   const beginUnstored = (record: BatchChange): boolean => {
     if (record.type !== 'batch') return false;
     log.warn('batch.begun-unkept', { batch: record.id, model: record.model, step: record.step });
@@ -45,8 +45,8 @@
     return true;
   };
 
-  const keep = async (record: BatchChange, deadline: number): Promise<WriteOutcome> => {
-    const ownWrite = write(record, deadline);
+  const write = async (record: BatchChange, deadline: number): Promise<WriteOutcome> => {
+    const ownWrite = writeHere(record, deadline);
     const ownOutcome = await withDeadline(
       clock,
       ownWrite,
@@ -62,9 +62,9 @@
     return isBegun || outcomes.includes('unknown') ? 'unknown' : 'not-written';
   };
 
-  return { keep };
+  return { write };
 };
 
-export type BatchKeeper = ReturnType<typeof newBatchKeeper>;
+export type BatchWriter = ReturnType<typeof newBatchWriter>;
 
-export default newBatchKeeper;
+export default newBatchWriter;
--- a/packages/batches/src/newBatches.ts
+++ b/packages/batches/src/newBatches.ts
@@ -13,7 +13,7 @@
 } from './batchRecord.js';
 import mapById from './mapById.js';
 import { newItemHead } from './newBatchHead.js';
-import type { PartialTexts } from './newPartTexts.js';
+import type { PartialTexts } from './newPartialTexts.js';
 import type { BatchExecutor } from './peerRouter.js';
 import type { Progress } from './progress.js';
 
@@ -39,7 +39,7 @@
    * Whether the store is known to have the batch; a batch that this host began without the store is
    * not shown to callers.
    */
-  isKept: boolean;
+  isLogged: boolean;
   /** Whether the head of the batch is in the log, so that records written from now on follow it. */
   isStored: boolean;
   /**
@@ -79,7 +79,7 @@
 export interface BatchesOptions {
   clock: Clock;
   /** Time for which batches can be read after they were accepted, in milliseconds. */
-  lifeMs: number;
+  retentionMs: number;
   /** Partial texts, as far as they were read. */
   parts: PartialTexts;
 }
@@ -91,14 +91,14 @@
  * the same item. The first record of a batch and the first result of an item in log order take
  * effect, so that every host gives the same answer without asking another.
  */
-const newBatches = ({ clock, lifeMs, parts }: BatchesOptions) => {
+const newBatches = ({ clock, retentionMs, parts }: BatchesOptions) => {
   const states = new Map<string, BatchState>();
   const completed = new Map<string, { digest: string; result: ItemResult }>();
   const reportedExecutors = new Map<string, BatchExecutor & { at: number }>();
   let onAccepted = (_batch: BatchState['batch']): void => {};
   const listeners = new Set<(state: BatchState) => void>();
 
-  const add = (batch: Batch | BatchHead, isKept: boolean): BatchState => {
+  const add = (batch: Batch | BatchHead, isLogged: boolean): BatchState => {
     const age = Math.max(0, clock.wallTime() - batch.acceptedAt);
     const hasRequests = batch.type === 'batch';
     const state: BatchState = {
@@ -109,13 +109,14 @@
       results: [],
       finished: new Set(),
       isEnded: false,
-      isKept,
-      isStored: isKept,
-      isBegunHere: !isKept,
+      isLogged,
+      isStored: isLogged,
+      isBegunHere: !isLogged,
       handedOverUntil: -Infinity,
       executor: null,
       executorReportedAt: reportedExecutors.has(batch.id) ? clock.now() : -Infinity,
-      evictAt: clock.now() + Math.max(0, lifeMs - Math.min(age, lifeMs)) + lifeMs / 2,
+      evictAt:
+        clock.now() + Math.max(0, retentionMs - Math.min(age, retentionMs)) + retentionMs / 2,
     };
     states.set(batch.id, state);
     return state;
@@ -124,8 +125,8 @@
   const accept = (batch: Batch | BatchHead): BatchState | null => {
     const known = states.get(batch.id);
     if (!known) return add(batch, true);
-    if (known.isKept) return null;
-    known.isKept = true;
+    if (known.isLogged) return null;
+    known.isLogged = true;
     known.isStored = true;
     known.batch = batch;
     known.requestsPlace = batch.type === 'batch-head' ? batch.requests : null;
@@ -138,7 +139,7 @@
    */
   const noteBegun = ({ batch, host, incarnation, from }: BatchBegun): BatchState | null => {
     const state = states.get(batch);
-    if (!state?.isKept || (state.executor && from === null)) return null;
+    if (!state?.isLogged || (state.executor && from === null)) return null;
     state.handedOverUntil = -Infinity;
     state.executor = { host, incarnation, readAt: clock.now() };
     return state;
@@ -146,7 +147,7 @@
 
   const addResult = (result: ItemResult): BatchState | null => {
     const state = states.get(result.batch);
-    if (!state?.isKept || !state.items.has(result.item) || state.finished.has(result.item))
+    if (!state?.isLogged || !state.items.has(result.item) || state.finished.has(result.item))
       return null;
     state.finished.add(result.item);
     state.results.push(result);
@@ -184,7 +185,7 @@
 
   const evictExpired = (): void => {
     reportedExecutors.forEach(({ at }, id) => {
-      if (at + lifeMs < clock.now()) reportedExecutors.delete(id);
+      if (at + retentionMs < clock.now()) reportedExecutors.delete(id);
     });
     states.forEach(({ evictAt }, id) => {
       if (evictAt >= clock.now()) return;
@@ -207,7 +208,7 @@
     },
     get: (id: string): BatchState | undefined => {
       const state = states.get(id);
-      return state?.isKept ? state : undefined;
+      return state?.isLogged ? state : undefined;
     },
     /**
      * Begins a batch that the store does not have yet; @returns false if the batch is already
@@ -231,16 +232,16 @@
       [...listeners].forEach((listener) => listener(state));
     },
     /** Notes that another host has begun a batch. */
-    noteBeginner: (executor: BatchExecutor): void => {
+    noteExecutor: (executor: BatchExecutor): void => {
       const at = clock.now();
       reportedExecutors.set(executor.batch, { ...executor, at });
       const state = states.get(executor.batch);
       if (state) state.executorReportedAt = at;
     },
     /** Host that was reported to have begun a batch; null if there is none. */
-    heardBeginner: (id: string): BatchExecutor | null => reportedExecutors.get(id) ?? null,
+    findReportedExecutor: (id: string): BatchExecutor | null => reportedExecutors.get(id) ?? null,
     /** Takes over a batch that this host knows; @returns false if it is unknown or has ended. */
-    adopt: (batch: Batch): boolean => {
+    takeOver: (batch: Batch): boolean => {
       const state = states.get(batch.id);
       if (!state || state.isEnded) return false;
       state.isBegunHere = true;
@@ -264,7 +265,7 @@
       const state = states.get(id);
       if (!state) return;
       state.isBegunHere = false;
-      if (!state.isKept) states.delete(id);
+      if (!state.isLogged) states.delete(id);
     },
     open: (): BatchState[] =>
       [...states.values()].filter(
--- a/packages/batches/src/newPartTexts.ts
+++ b/packages/batches/src/newPartialTexts.ts
@@ -6,7 +6,7 @@
  * Batches end within 12 s of being accepted; a group that is carried over is sent again within a
  * step.
  */
-export const PART_LIFE_MS = 30_000;
+export const PARTIAL_TEXT_RETENTION_MS = 30_000;
 
 /** Text of an item as written by its most recent writer. */
 export interface PartialText {
@@ -24,13 +24,13 @@
  * two incarnations would join to a text that no engine generated, so a part continues only the
  * parts of its own writer.
  */
-const newPartTexts = (clock: Clock) => {
+const newPartialTexts = (clock: Clock) => {
   const texts = new Map<string, PartialText>();
 
   const isContinuation = (current: PartialText | undefined, { writer, from }: Part): boolean =>
     current?.writer === writer && current.progress.events.length === from;
 
-  const forgetOld = (): void =>
+  const evictExpired = (): void =>
     texts.forEach(({ expiresAt }, item) => {
       if (expiresAt < clock.now()) texts.delete(item);
     });
@@ -42,10 +42,10 @@
       if (from > 0 && !isContinuation(current, part)) return;
       const earlier = from > 0 ? (current?.progress.events ?? []) : [];
       const progress = { events: [...earlier, ...events], lastEventId, versions };
-      const expiresAt = clock.now() + PART_LIFE_MS;
+      const expiresAt = clock.now() + PARTIAL_TEXT_RETENTION_MS;
       texts.set(item, { batch, writer, progress, isComplete: isWhole, expiresAt });
     },
-    forgetOld,
+    evictExpired,
     get: (item: string): PartialText | undefined => texts.get(item),
     remove: (item: string): void => {
       texts.delete(item);
@@ -53,6 +53,6 @@
   };
 };
 
-export type PartialTexts = ReturnType<typeof newPartTexts>;
+export type PartialTexts = ReturnType<typeof newPartialTexts>;
 
-export default newPartTexts;
+export default newPartialTexts;
--- a/packages/batches/src/newCutWatch.ts
+++ b/packages/batches/src/newPartitionMonitor.ts
@@ -1,6 +1,6 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { EventLog } from '@cyclamengate/common/newEventLog';
-import type { Touch } from './peerRouter.js';
+import type { StoreReachability } from './peerRouter.js';
 
 const CHECK_INTERVAL_MS = 200;
 /**
@@ -14,7 +14,7 @@
  */
 const PROBE_INTERVAL_MS = 700;
 
-export interface CutWatchOptions {
+export interface PartitionMonitorOptions {
   clock: Clock;
   log: EventLog;
   /**
@@ -23,7 +23,7 @@
    */
   freshAt: () => number;
   /** Probes how well other hosts reach the store; @returns the best result of some hosts. */
-  askOthers: () => Promise<Touch>;
+  probePeers: () => Promise<StoreReachability>;
 }
 
 /** Actions of a host that is partitioned from the store. */
@@ -49,7 +49,7 @@
  * announcement. While no host reaches the store it continues, since no other host is in a better
  * position.
  */
-const newCutWatch = ({ clock, log, freshAt, askOthers }: CutWatchOptions) => {
+const newPartitionMonitor = ({ clock, log, freshAt, probePeers }: PartitionMonitorOptions) => {
   let nextProbeAt = -Infinity;
   let isAnnounced = false;
   /** Time at which the last peer that proved able to read the store was probed. */
@@ -58,18 +58,18 @@
   const isStale = (): boolean =>
     freshAt() !== -Infinity && clock.now() > freshAt() + MAX_VIEW_AGE_MS;
 
-  const isCutOff = (): boolean => peersReadAt > freshAt();
+  const isPartitioned = (): boolean => peersReadAt > freshAt();
 
-  const notePeersRead = (askedAt: number, touch: Touch): void => {
+  const notePeersRead = (askedAt: number, touch: StoreReachability): void => {
     const viewAgeMs = Math.round(clock.now() - freshAt());
-    if (!isCutOff()) log.warn('host.behind', { viewAgeMs, touch });
+    if (!isPartitioned()) log.warn('host.behind', { viewAgeMs, touch });
     peersReadAt = askedAt;
   };
 
   const leaveIfPartitioned = async ({ openItems, leave }: PartitionActions): Promise<void> => {
     const askedAt = clock.now();
     nextProbeAt = askedAt + PROBE_INTERVAL_MS;
-    const touch = await askOthers();
+    const touch = await probePeers();
     if (touch !== 'none') notePeersRead(askedAt, touch);
     // A host that resumes reading later than others after a general outage is not partitioned.
     if (touch !== 'steady') return;
@@ -88,10 +88,10 @@
       }
     },
     /** Whether another host has read the store since this host last did. */
-    isCutOff,
+    isPartitioned,
   };
 };
 
-export type CutWatch = ReturnType<typeof newCutWatch>;
+export type PartitionMonitor = ReturnType<typeof newPartitionMonitor>;
 
-export default newCutWatch;
+export default newPartitionMonitor;
--- a/packages/batches/src/newPeers.ts
+++ b/packages/batches/src/newPeers.ts
@@ -7,7 +7,7 @@
 import newPeerCalls from './newPeerCalls.js';
 import type { PeerAnswer } from './newPeerCalls.js';
 import { writeOutcomeSchema } from './peerRouter.js';
-import type { Touch } from './peerRouter.js';
+import type { StoreReachability } from './peerRouter.js';
 
 /**
  * Number of peers that are asked concurrently: with a third of the hosts partitioned from the
@@ -128,7 +128,7 @@
      * has healed no host has answered lately, and without probes this host would take the partition
      * for a general outage.
      */
-    touch: async (): Promise<Touch> => {
+    touch: async (): Promise<StoreReachability> => {
       const chosen = choosePeers(readPeers(), failureDomain, random);
       const answers = await Promise.all(
         chosen.map((peer) =>
--- a/packages/batches/src/peerRouter.ts
+++ b/packages/batches/src/peerRouter.ts
@@ -9,7 +9,7 @@
 export const writeOutcomeSchema = z.enum(['written', 'not-written', 'unknown']);
 
 /** How well a host reaches the store: not at all, again since a moment ago, or for some time. */
-export type Touch = 'none' | 'new' | 'steady';
+export type StoreReachability = 'none' | 'new' | 'steady';
 
 /** Maximum time that a host spends on a peer's record, in milliseconds. */
 const MAX_WRITE_MS = 2_000;
@@ -56,7 +56,7 @@
    */
   announce: (heartbeat: Heartbeat) => Promise<boolean>;
   /** How well this host can read the batches from the store. */
-  touch: () => Promise<Touch>;
+  touch: () => Promise<StoreReachability>;
 }
 
 const t = initTRPC.create();
--- a/packages/batches/src/keepOrSee.ts
+++ b/packages/batches/src/storeBatch.ts
@@ -1,13 +1,13 @@
 import type Clock from '@cyclamengate/common/Clock';
 import type { WriteOutcome } from '@cyclamengate/store/newStoreWriter';
 import type { Batch } from './batchRecord.js';
-import type { BatchKeeper } from './newBatchKeeper.js';
+import type { BatchWriter } from './newBatchWriter.js';
 import type { Batches } from './newBatches.js';
 
-export interface KeepOrSeeOptions {
+export interface StoreBatchOptions {
   clock: Clock;
   batches: Pick<Batches, 'get' | 'onChange'>;
-  keep: BatchKeeper['keep'];
+  keep: BatchWriter['write'];
 }
 
 /**
@@ -17,14 +17,14 @@
  * store is available. This host's own write may then still wait for a response that was lost in the
  * outage, and the caller would get an unknown outcome for a batch that every host can read.
  */
-const keepOrSee = async (
-  { clock, batches, keep }: KeepOrSeeOptions,
+const storeBatch = async (
+  { clock, batches, keep }: StoreBatchOptions,
   batch: Batch,
   deadline: number,
 ): Promise<WriteOutcome> => {
   const observed = new AbortController();
   const stop = batches.onChange((changed) => {
-    if (changed.isKept && changed.batch.id === batch.id) observed.abort('seen');
+    if (changed.isLogged && changed.batch.id === batch.id) observed.abort('seen');
   });
   // An append that is sent during an outage can remain unanswered past its writer's deadline.
   const timeout = clock.sleepUntil(deadline, observed.signal).then((): WriteOutcome => 'unknown');
@@ -34,4 +34,4 @@
   return batches.get(batch.id) ? 'written' : outcome;
 };
 
-export default keepOrSee;
+export default storeBatch;
--- a/packages/engines/src/loadWeights.ts
+++ b/packages/engines/src/loadWeights.ts
@@ -49,7 +49,7 @@
 }
 
 /**
- * Orders engines to load the newest weights while this host holds the lease, up to `mostAtOnce` at
+ * Orders engines to load the newest weights while this host holds the lease, up to `maxConcurrentLoads` at
  * a time.
  *
  * Engines may not check the fencing token, and an order whose answer was lost can be carried out
--- a/scripts/ablate.js
+++ b/scripts/ablate.js
@@ -23,12 +23,12 @@
   moves: ['packages/batches/src/newBatchRunner.ts', '    moveRunning();\n', ''],
   'texts written on the way': ['packages/batches/src/newBatchRunner.ts', '    saveParts();\n', ''],
   'batches kept through others': [
-    'packages/batches/src/newBatchKeeper.ts',
+    'packages/batches/src/newBatchWriter.ts',
     'const peers = askPeers(record);',
     "const peers = Promise.resolve<WriteOutcome>(askPeers.length < 0 ? 'unknown' : 'not-written');",
   ],
   'batches begun in outages': [
-    'packages/batches/src/newBatchKeeper.ts',
+    'packages/batches/src/newBatchWriter.ts',
     "if (record.type !== 'batch') return false;",
     "if (record.type !== 'batch' || clock.now() > 0) return false;",
   ],
@@ -88,7 +88,7 @@
     'if (!handover || state.results.length >= 0) return;',
   ],
   'cut hosts leave': [
-    'packages/batches/src/newCutWatch.ts',
+    'packages/batches/src/newPartitionMonitor.ts',
     '!isDone && clock.now() >= nextProbeAt',
     '!isDone && clock.now() < 0',
   ],
