--- a/apps/host/src/newBatchHandlers.ts
+++ b/apps/host/src/newBatchHandlers.ts
@@ -24,6 +24,7 @@
 const ACCEPT_TIMEOUT_MS = 1_100;
 /** A batch end is normally written within a few milliseconds, by this host or a peer. */
 const END_TIMEOUT_MS = 1_000;
+/** Time limit for reading the log to its end before a batch is reported missing. */
 const CATCH_UP_TIMEOUT_MS = 700;
 /** A view older than this may lack results that another host has already returned. */
 const MAX_VIEW_AGE_MS = 700;
@@ -57,7 +58,7 @@
     sendJson(response, refusal.status, { error: refusal.code }, headers);
   };
 
-  /** The caller's batch, or a refusal. A batch is reported missing only if the view is up to date. */
+  /** Finds a batch of the caller. It is reported missing only if the view is up to date. */
   const findBatch = async (request: CallerRequest, id: string): Promise<BatchState | Refusal> => {
     const effective = readSettings();
     if (!effective) return notRun('no-settings', STORE_RETRY_MS);
@@ -73,7 +74,7 @@
     return state;
   };
 
-  const isRefusal = (found: object): found is Refusal => 'status' in found;
+  const isRefusal = (value: object): value is Refusal => 'status' in value;
 
   /** An item is reported missing only if the batch has no such id, not if it can't be read. */
   const findItem = async (state: BatchState, itemId: string): Promise<Item | Refusal> => {
@@ -111,7 +112,7 @@
       ...submitted.val,
     };
     const outcome = await storeBatch(
-      { clock, batches, keep: storeRecord },
+      { clock, batches, write: storeRecord },
       record,
       clock.now() + ACCEPT_TIMEOUT_MS,
     );
@@ -157,26 +158,26 @@
     from: number,
   ): Promise<void> => {
     const deadline = clock.now() + request.waitMs;
-    const found = await findBatch(request, id);
-    if (isRefusal(found)) {
-      refuse(response, request, id, found);
+    const state = await findBatch(request, id);
+    if (isRefusal(state)) {
+      refuse(response, request, id, state);
       return;
     }
-    const isComplete = (): boolean => found.results.length >= found.items.size || found.isEnded;
-    if (found.results.length <= from && !isComplete()) await waitForResult(found, from, deadline);
+    const isComplete = (): boolean => state.results.length >= state.items.size || state.isEnded;
+    if (state.results.length <= from && !isComplete()) await waitForResult(state, from, deadline);
     const isStale = clock.now() > store.freshAt() + MAX_VIEW_AGE_MS;
-    if (found.results.length <= from && isStale && !(await store.catchUp(clock.now() + 300))) {
+    if (state.results.length <= from && isStale && !(await store.catchUp(clock.now() + 300))) {
       refuse(response, request, id, notRun('store-away', STORE_RETRY_MS));
       return;
     }
-    const page = await pages.read(found.results, from);
+    const page = await pages.read(state.results, from);
     if (!page) {
       refuse(response, request, id, notRun('texts-unread', STORE_RETRY_MS));
       return;
     }
     const { results, texts } = page;
-    sendJson(response, 200, formatResults(found.items.size, from, results, texts));
-    if (results.length > 0) logRead(found, from, results.length);
+    sendJson(response, 200, formatResults(state.items.size, from, results, texts));
+    if (results.length > 0) logRead(state, from, results.length);
   };
 
   const readItem = async (
@@ -185,8 +186,8 @@
     id: string,
     itemId: string,
   ): Promise<void> => {
-    const found = await findBatch(request, id);
-    const item = isRefusal(found) ? found : await findItem(found, itemId);
+    const state = await findBatch(request, id);
+    const item = isRefusal(state) ? state : await findItem(state, itemId);
     if (isRefusal(item)) {
       refuse(response, request, id, item);
       return;
@@ -204,15 +205,15 @@
     response: ServerResponse,
     id: string,
   ): Promise<void> => {
-    const found = await findBatch(request, id);
-    if (isRefusal(found)) {
-      refuse(response, request, id, found);
+    const state = await findBatch(request, id);
+    if (isRefusal(state)) {
+      refuse(response, request, id, state);
       return;
     }
-    const outcome = found.isEnded
+    const outcome = state.isEnded
       ? 'written'
       : await storeRecord({ type: 'batch-end', batch: id }, clock.now() + END_TIMEOUT_MS);
-    log.info('batch.ended', { batch: id, outcome, results: found.results.length });
+    log.info('batch.ended', { batch: id, outcome, results: state.results.length });
     if (outcome === 'written') sendJson(response, 200, {});
     else refuse(response, request, id, uncertain('store-silent', 504));
   };
--- a/apps/host/src/newBatchStore.ts
+++ b/apps/host/src/newBatchStore.ts
@@ -29,7 +29,7 @@
 /** Minimum time between two reads: limits the calls of many hosts, but delays results by as much. */
 const READ_INTERVAL_MS = 80;
 
-/** Results are due 7.5 s after the batch was first sent; a batch stored later than this is useless. */
+/** Results are due 7.5 s after a batch was first sent; storing it after this time is of no use. */
 const BEGUN_WRITE_TIMEOUT_MS = 9_000;
 
 /** A reachable store is read to its end within a few milliseconds. */
@@ -46,17 +46,18 @@
   store: Store;
   host: string;
   incarnation: string;
-  lifeMs: number;
+  /** Time for which batches can be read after they were accepted. */
+  retentionMs: number;
   /** Factor by which the read interval grows with the number of hosts. */
   readIntervalFactor: () => number;
 }
 
 /** Follows the batches in the store and writes their records. */
 const newBatchStore = (options: BatchStoreOptions) => {
-  const { clock, log, store, host, incarnation, lifeMs, readIntervalFactor } = options;
+  const { clock, log, store, host, incarnation, retentionMs, readIntervalFactor } = options;
 
   const partTexts = newPartialTexts(clock);
-  const batches = newBatches({ clock, retentionMs: lifeMs, parts: partTexts });
+  const batches = newBatches({ clock, retentionMs, parts: partTexts });
   const follower = newTopicFollower({
     clock,
     log,
@@ -140,7 +141,7 @@
       clock.now() + BEGUN_WRITE_TIMEOUT_MS,
     );
     log.info('batch.begun-kept', { batch: batch.id, outcome });
-    if (outcome === 'written') batches.noteStored(batch.id);
+    if (outcome === 'written') batches.markStored(batch.id);
     else batches.withdraw(batch.id);
   };
 
--- a/apps/host/src/newCallerHandler.ts
+++ b/apps/host/src/newCallerHandler.ts
@@ -77,7 +77,7 @@
     response.end(body);
   };
 
-  const deadlineOf = (route: Route, request: CallerRequest, arrivedAt: number): number =>
+  const computeDeadline = (route: Route, request: CallerRequest, arrivedAt: number): number =>
     arrivedAt + Math.min(route.timeoutMs, request.timeoutMs ?? Number.POSITIVE_INFINITY);
 
   const relayRequest = async (
@@ -105,7 +105,7 @@
       service,
       isIdempotent: route.isStream ? route.isResumable : route.kind === 'idempotent',
       maxUpstreams: route.maxUpstreams,
-      deadline: deadlineOf(route, request, arrivedAt),
+      deadline: computeDeadline(route, request, arrivedAt),
     };
     const controller = newCallerAbortController(response);
     const startedAt = clock.wallTime();
--- a/apps/host/src/newHost.ts
+++ b/apps/host/src/newHost.ts
@@ -92,14 +92,14 @@
   const relayParts = { clock, log, client, candidates, health, loads };
   const relay = newPlainRelay(relayParts);
   const relayStream = newStreamRelay(relayParts);
-  const lifeMs = terms.batchLifeSeconds * MS_PER_SECOND;
+  const retentionMs = terms.batchLifeSeconds * MS_PER_SECOND;
   const batchStore = newBatchStore({
     clock,
     log,
     store,
     host,
     incarnation,
-    lifeMs,
+    retentionMs,
     readIntervalFactor: coordination.readIntervalFactor,
   });
   const peerService = newPeerService({
@@ -117,7 +117,7 @@
     rank: ({ id, model }, hosts) => rankHosts(`batches/${model ?? id}`, hosts),
     beginHere: peerService.begin,
     hasBegunHere: peerService.hasBegun,
-    noteExecutorHere: peerService.noteBegun,
+    recordExecutorHere: peerService.noteBegun,
     findReportedExecutor: batchStore.batches.findReportedExecutor,
   });
   const platform = followPlatform({
@@ -132,11 +132,11 @@
   batchStore.batches.onAccepted(({ model, leastVersion }) => {
     if (model !== null) allowedLags.set(model, platform.newestVersion(model).version, leastVersion);
   });
-  const partitionWatch = newPartitionMonitor({
+  const partitionMonitor = newPartitionMonitor({
     clock,
     log,
     freshAt: batchStore.freshAt,
-    probePeers: peers.touch,
+    probePeers: peers.probeStoreAccess,
   });
   const runner = newBatchRunner({
     clock,
@@ -152,18 +152,19 @@
     isOwner: (subject) => !isLeaving && coordination.owns(`batches/${subject}`),
     mayWork: ({ isLogged }) => {
       const { freshAt, isUnreachable } = batchStore;
-      const known = {
+      const view = {
         freshAt: freshAt(),
         isStoreUnavailable: isUnreachable(),
-        isPartitioned: partitionWatch.isPartitioned(),
+        isPartitioned: partitionMonitor.isPartitioned(),
       };
-      return mayStartWork(clock.now(), known, isLogged);
+      return mayStartWork(clock.now(), view, isLogged);
     },
     isListed: (id) => directory.find(id) !== undefined,
     incarnation,
     isLeaving: () => isLeaving,
     freshAt: batchStore.freshAt,
-    isLive: (run) => coordination.members.live().some((member) => member.incarnation === run),
+    isLive: (otherIncarnation) =>
+      coordination.members.live().some((member) => member.incarnation === otherIncarnation),
     hasLeft: coordination.members.hasLeft,
     write: batchStore.write,
     writePart: batchStore.writePart,
@@ -201,7 +202,7 @@
     clock,
     log,
     writeHere: batchStore.write,
-    askPeers: peers.keep,
+    askPeers: peers.write,
     begin: peers.begin,
   });
   const batchHandlers = newBatchHandlers({
@@ -234,11 +235,15 @@
     isReady: () => settingsView.read() !== null && !isLeaving,
   });
 
-  /** Hands over batches to hosts that reach the store; @returns whether a peer announced the leave. */
+  /**
+   * Announces through a peer that this host takes no new work, and hands its batches over to hosts
+   * that reach the store.
+   * @returns whether the announcement was written
+   */
   const leave = async (): Promise<boolean> => {
-    const isAnnounced = peers.announce({ ...coordination.nextHeartbeat(), isLeaving: true });
-    await runner.handOver('cut off');
-    return isAnnounced;
+    const announcement = peers.announce({ ...coordination.nextHeartbeat(), isLeaving: true });
+    await runner.handOver('partitioned');
+    return announcement;
   };
 
   const startTasks = (): void => {
@@ -248,8 +253,8 @@
     tasks.start('batches', batchStore.run);
     tasks.start('items', runner.run);
     tasks.start('duties', duties.run);
-    tasks.start('cut watch', (signal) =>
-      partitionWatch.run({ openItems: runner.open, leave }, signal),
+    tasks.start('partition monitor', (signal) =>
+      partitionMonitor.run({ openItems: runner.open, leave }, signal),
     );
   };
 
--- a/apps/host/src/newPeerService.ts
+++ b/apps/host/src/newPeerService.ts
@@ -25,7 +25,7 @@
       return batchStore.batches.hasBegun(batch.id) ? 'begun' : 'kept';
     },
     hasBegun: batchStore.batches.hasBegun,
-    noteBegun: batchStore.batches.noteExecutor,
+    noteBegun: batchStore.batches.recordExecutor,
     takeOver: async (handover) => {
       const isSuitable =
         !handover.isSenderCut || (await batchStore.checkStoreAccess()) === 'steady';
--- a/apps/host/src/newServers.ts
+++ b/apps/host/src/newServers.ts
@@ -44,7 +44,7 @@
     server.listen(port, host, LISTEN_BACKLOG, resolve);
   });
 
-const queryOf = ({ url }: IncomingMessage): URLSearchParams =>
+const parseQuery = ({ url }: IncomingMessage): URLSearchParams =>
   new URLSearchParams((url ?? '').split('?')[1] ?? '');
 
 /** The HTTP servers of a host: callers, readiness probe, peers and metrics. */
@@ -57,27 +57,27 @@
 
   const toHandler = (handle: AsyncHandler) => handler(logError, handle);
 
-  const batchIdOf = (request: HandlerRequest): string => String(request.params.id ?? '');
+  const readBatchId = (request: HandlerRequest): string => String(request.params.id ?? '');
 
   const app = polka({ onNoMatch: toHandler(callers.serve) })
     .get(
       RESULTS_PATH,
       toHandler((request, response) => {
-        const from = Math.max(0, Math.floor(Number(queryOf(request).get('after')) || 0));
-        return batches.read(parseCallerRequest(request), response, batchIdOf(request), from);
+        const from = Math.max(0, Math.floor(Number(parseQuery(request).get('after')) || 0));
+        return batches.read(parseCallerRequest(request), response, readBatchId(request), from);
       }),
     )
     .delete(
       RESULTS_PATH,
       toHandler((request, response) =>
-        batches.end(parseCallerRequest(request), response, batchIdOf(request)),
+        batches.end(parseCallerRequest(request), response, readBatchId(request)),
       ),
     )
     .get(
       ITEM_PATH,
       toHandler((request, response) => {
-        const item = queryOf(request).get('id') ?? '';
-        return batches.readItem(parseCallerRequest(request), response, batchIdOf(request), item);
+        const item = parseQuery(request).get('id') ?? '';
+        return batches.readItem(parseCallerRequest(request), response, readBatchId(request), item);
       }),
     );
 
--- a/apps/host/tests/batchHelpers.ts
+++ b/apps/host/tests/batchHelpers.ts
@@ -10,19 +10,24 @@
 }
 
 /** Body of a batch with groups of items that share a prompt, and a scoring call for each item. */
-export const batchBody = (name: string, groups: number, size: number, leastVersion = 1): string =>
+export const batchBody = (
+  name: string,
+  groups: number,
+  itemsPerGroup: number,
+  leastVersion = 1,
+): string =>
   JSON.stringify({
     'train-step': 1,
     model: MODEL,
     'min-version': leastVersion,
     desired: groups,
-    entries: Array.from({ length: groups * size }, (_, index) => ({
+    entries: Array.from({ length: groups * itemsPerGroup }, (_, index) => ({
       id: `${name}-${index}`,
       path: `/rounds/${name}/${index}`,
       headers: { Model: MODEL, 'Token-Count': '100,400', 'Length-Hint': '300' },
       body: Buffer.from(`prompt ${index}`).toString('base64'),
       tokens: 500,
-      group: `${name}-g${Math.floor(index / size)}`,
+      group: `${name}-g${Math.floor(index / itemsPerGroup)}`,
       scorer: {
         id: `${name}-score-${index}`,
         host: HOST_NAME,
--- a/apps/host/tests/endToEnd.process.test.ts
+++ b/apps/host/tests/endToEnd.process.test.ts
@@ -113,8 +113,8 @@
 test.serial('a response to another request is never accepted', async (t) => {
   // A faulty engine swaps its responses: each has the id of another request.
   const { platform, first, close } = await newSystem();
-  const [crossed] = platform.engines;
-  if (crossed) crossed.faults.hasWrongAttemptId = true;
+  const [faulty] = platform.engines;
+  if (faulty) faulty.faults.hasWrongAttemptId = true;
   t.is((await submit(first, 'b5', batchBody('b5', 2, 4))).status, 202);
   const page = await readAllResults(first, 'b5');
   t.true(page.results.every(({ id, text }) => text === expectedTextOf(id)));
--- a/apps/host/tests/hostTermination.process.test.ts
+++ b/apps/host/tests/hostTermination.process.test.ts
@@ -30,11 +30,11 @@
 test.serial('a stopping host is no longer ready, and completes its open requests', async (t) => {
   // Guards against open requests that fail when the platform stops a host, as in a rolling restart.
   const { first, close } = await newSystem(1);
-  const asked = Array.from({ length: 8 }, (_, index) =>
+  const pendingAnswers = Array.from({ length: 8 }, (_, index) =>
     send(first, 'POST', '/lookup/7', { id: `s${index}`, body: 'x' }),
   );
   const ended = first.end('SIGTERM');
-  t.true((await Promise.all(asked)).every(({ status }) => status === 200));
+  t.true((await Promise.all(pendingAnswers)).every(({ status }) => status === 200));
   t.false(await isReady(first));
   await ended;
   t.is(first.child.exitCode, 0);
@@ -72,13 +72,13 @@
   const [address = '', port] = first.callers.split(':');
   const sender = await newRawSender(address, Number(port));
   const { socket, faults, closed, takeText, writeBody } = sender;
-  const headOf = (bytes: number): string =>
+  const formatRequestHead = (bytes: number): string =>
     `POST /lookup/7 HTTP/1.1\r\nhost: x\r\ncontent-length: ${bytes}\r\n\r\n`;
-  socket.write(`${headOf(1)}x`);
+  socket.write(`${formatRequestHead(1)}x`);
   await waitUntil(() => takeText() !== '');
   const ended = first.end('SIGTERM');
   await waitUntil(async () => !(await isReady(first)));
-  socket.write(headOf(LARGE_BODY_BYTES));
+  socket.write(formatRequestHead(LARGE_BODY_BYTES));
   await writeBody(LARGE_BODY_BYTES);
   await closed;
   t.deepEqual(faults, []);
--- a/packages/batches/src/chooseExecutor.ts
+++ b/packages/batches/src/chooseExecutor.ts
@@ -22,8 +22,8 @@
   replies: ExecutorReply[],
   reportedHost: string | null,
 ): ExecutorChoice | null => {
-  const findReply = (has: boolean): ExecutorReply | undefined =>
-    replies.find(({ answer }) => answer.type === 'answer' && answer.value === has);
+  const findReply = (hasBegun: boolean): ExecutorReply | undefined =>
+    replies.find(({ answer }) => answer.type === 'answer' && answer.value === hasBegun);
   const executor = findReply(true);
   if (executor) return { host: executor.host, hasBegun: true };
   // A late host keeps a batch that it was told to begin; a restarted one is told again.
@@ -31,8 +31,8 @@
     ({ host, answer }) => host === reportedHost && answer.type !== 'gone',
   );
   if (reported) return { host: reported.host, hasBegun: reported.answer.type === 'late' };
-  const idle = findReply(false);
-  return idle ? { host: idle.host, hasBegun: false } : null;
+  const available = findReply(false);
+  return available ? { host: available.host, hasBegun: false } : null;
 };
 
 export default chooseExecutor;
--- a/packages/batches/src/findMoves.ts
+++ b/packages/batches/src/findMoves.ts
@@ -32,14 +32,14 @@
   candidates: Candidate[],
   isDraining: (id: string) => boolean,
 ): RunningItem[] => {
-  const usualPace = findMedianLatencyMs(candidates);
+  const medianLatencyMs = findMedianLatencyMs(candidates);
   const slowEngines = new Set(
     candidates
-      .filter(({ latencyMs: pace }) => computeSlowdown(pace, usualPace) > SLOWDOWN_THRESHOLD)
+      .filter(({ latencyMs }) => computeSlowdown(latencyMs, medianLatencyMs) > SLOWDOWN_THRESHOLD)
       .map(({ entry }) => entry.id),
   );
   const freeSlots = candidates
-    .filter(({ entry, isBackedOff: isResting }) => !isResting && !slowEngines.has(entry.id))
+    .filter(({ entry, isBackedOff }) => !isBackedOff && !slowEngines.has(entry.id))
     .reduce((sum, { entry, load }) => sum + Math.max(0, entry.slots - load), 0);
   return running
     .filter(({ upstream }) => isDraining(upstream) || slowEngines.has(upstream))
--- a/packages/batches/src/newBatchDispatcher.ts
+++ b/packages/batches/src/newBatchDispatcher.ts
@@ -36,8 +36,8 @@
   beginHere: (batch: Batch) => BeginOutcome;
   /** Whether this host has begun a batch. */
   hasBegunHere: (batch: string) => boolean;
-  /** Notes on this host that another host has begun a batch. */
-  noteExecutorHere: (begun: BatchExecutor) => void;
+  /** Records on this host that another host has begun a batch. */
+  recordExecutorHere: (begun: BatchExecutor) => void;
   /** Host that was reported to have begun a batch. */
   findReportedExecutor: (batch: string) => BatchExecutor | null;
 }
@@ -45,7 +45,7 @@
 /** Makes one host begin a batch that the store does not have yet. */
 const newBatchDispatcher = (options: BatchDispatcherOptions) => {
   const { log, calls, self, readPeers, rank } = options;
-  const { beginHere, hasBegunHere, noteExecutorHere, findReportedExecutor } = options;
+  const { beginHere, hasBegunHere, recordExecutorHere, findReportedExecutor } = options;
 
   const isSelf = ({ host }: PeerAddress): boolean => host === self.host;
 
@@ -70,7 +70,7 @@
     });
 
   const reportExecutor = (at: PeerAddress, begun: BatchExecutor): Promise<PeerAnswer<void>> =>
-    callHost(at, () => noteExecutorHere(begun), {
+    callHost(at, () => recordExecutorHere(begun), {
       name: 'noteBegun',
       run: (client, signal) => client.noteBegun.mutate(begun, { signal }),
     });
@@ -139,9 +139,9 @@
      * A batch that is sent again may arrive at hosts that reach other candidates. So all candidates
      * are asked before one is told to begin, and late ones are waited for: if a late host were
      * assumed not to have begun the batch, it and the next host would both run it. A host that
-     * acknowledges the order too late is not passed over either: it reports the batch as begun when
-     * the batch is sent again. The other candidates are told which host runs the batch, since that
-     * host may be late again and the store may have the batch before the record of that host.
+     * acknowledges the order too late is not passed over either: when the batch is sent again, it
+     * reports that it has begun it. The other candidates are told which host runs the batch, since
+     * that host may be late again and the store may have the batch before the record of that host.
      */
     begin: async (batch: Batch): Promise<void> => {
       const reported = findReportedExecutor(batch.id);
--- a/packages/batches/src/newBatches.ts
+++ b/packages/batches/src/newBatches.ts
@@ -134,10 +134,10 @@
   };
 
   /**
-   * Of two hosts that began a batch the first takes effect; a host that took the batch over
-   * replaces either.
+   * If several hosts began a batch, the first record takes effect. The record of a host that took
+   * the batch over replaces any earlier one.
    */
-  const noteBegun = ({ batch, host, incarnation, from }: BatchBegun): BatchState | null => {
+  const applyBegun = ({ batch, host, incarnation, from }: BatchBegun): BatchState | null => {
     const state = states.get(batch);
     if (!state?.isLogged || (state.executor && from === null)) return null;
     state.handedOverUntil = -Infinity;
@@ -177,7 +177,7 @@
       case 'batch-end':
         return end(record.batch);
       case 'batch-begun':
-        return noteBegun(record);
+        return applyBegun(record);
       default:
         return assertNever(record);
     }
@@ -223,16 +223,16 @@
     /** Whether this host has begun a batch or taken it over. */
     hasBegun: (id: string): boolean => states.get(id)?.isBegunHere ?? false,
     /**
-     * Notes that the store has acknowledged a batch that this host has yet to read from the log.
+     * Records that the store has acknowledged a batch that this host has yet to read from the log.
      */
-    noteStored: (id: string): void => {
+    markStored: (id: string): void => {
       const state = states.get(id);
       if (!state || state.isStored) return;
       state.isStored = true;
       [...listeners].forEach((listener) => listener(state));
     },
-    /** Notes that another host has begun a batch. */
-    noteExecutor: (executor: BatchExecutor): void => {
+    /** Records that another host has begun a batch. */
+    recordExecutor: (executor: BatchExecutor): void => {
       const at = clock.now();
       reportedExecutors.set(executor.batch, { ...executor, at });
       const state = states.get(executor.batch);
@@ -250,8 +250,8 @@
       [...listeners].forEach((listener) => listener(state));
       return true;
     },
-    /** Notes that this host has handed a batch over. */
-    noteHandedOver: (id: string): void => {
+    /** Records that this host has handed a batch over. */
+    markHandedOver: (id: string): void => {
       const state = states.get(id);
       if (!state) return;
       state.isBegunHere = false;
--- a/packages/batches/src/newHandover.ts
+++ b/packages/batches/src/newHandover.ts
@@ -5,6 +5,7 @@
 
 /**
  * Creates the handover with which another host can resume a batch at once.
+ * @param from incarnation that hands the batch over
  * @returns null if the batch has ended or its requests are not loaded
  */
 const newHandover = (
--- a/packages/batches/src/newHandoverSender.ts
+++ b/packages/batches/src/newHandoverSender.ts
@@ -39,17 +39,17 @@
     if (!handover) return;
     const successor = await handOverTo(handover);
     if (successor === null) return;
-    batches.noteHandedOver(state.batch.id);
+    batches.markHandedOver(state.batch.id);
     onHandedOver();
   };
 
   /**
-   * @param reason a host that is stopped ends its runs in any case; one that is cut off ends only
-   * the runs of batches that another host takes over
+   * @param reason a host that is stopped ends its runs in any case; one that is partitioned from
+   * the store ends only the runs of batches that another host takes over
    */
-  return async (reason: 'stopped' | 'cut off'): Promise<void> => {
+  return async (reason: 'stopped' | 'partitioned'): Promise<void> => {
     const open = tasks.all();
-    const isPartitioned = reason === 'cut off';
+    const isPartitioned = reason === 'partitioned';
     if (!isPartitioned) open.forEach((task) => task.controller.abort('handed over'));
     const groups = groupBy(open, ({ state }) => state);
     await Promise.all([
--- a/packages/batches/src/newPart.ts
+++ b/packages/batches/src/newPart.ts
@@ -2,7 +2,8 @@
 import type { ItemTask } from './newTaskList.js';
 
 /**
- * Creates the part of an item's text that follows an event, to be written or handed over.
+ * Creates the part of an item's text that follows the writer's earlier parts, to be written or
+ * handed over.
  * @param from number of events in the writer's earlier parts
  */
 const newPart = (
--- a/packages/batches/src/newPartSaver.ts
+++ b/packages/batches/src/newPartSaver.ts
@@ -20,17 +20,17 @@
   async (task: ItemTask): Promise<void> => {
     const { progress, savedEvents } = task;
     const count = progress.events.length;
-    const isRestored = progress.lastEventId === null;
-    if (task.isSaving || task.phase === 'writing' || isRestored) return;
+    const hasNoEvents = progress.lastEventId === null;
+    if (task.isSaving || task.phase === 'writing' || hasNoEvents) return;
     const isWhole = task.textCompletedAt !== null;
     if (count === savedEvents && isWhole === task.isCompletionSaved) return;
     task.isSaving = true;
     const part = newPart(task, writer, savedEvents);
     const outcome = await write(part, clock.now() + WRITE_TIMEOUT_MS);
     task.isSaving = false;
+    if (task.progress !== progress) return;
     // Whether an unacknowledged part was written is unknown, so the next part starts at the
     // beginning of the text.
-    if (task.progress !== progress) return;
     task.savedEvents = outcome === 'written' ? count : 0;
     task.isCompletionSaved = outcome === 'written' && isWhole;
   };
--- a/packages/batches/src/newPartitionMonitor.ts
+++ b/packages/batches/src/newPartitionMonitor.ts
@@ -52,7 +52,7 @@
 const newPartitionMonitor = ({ clock, log, freshAt, probePeers }: PartitionMonitorOptions) => {
   let nextProbeAt = -Infinity;
   let isAnnounced = false;
-  /** Time at which the last peer that proved able to read the store was probed. */
+  /** Time of the last probe that found a peer able to read the store. */
   let peersReadAt = -Infinity;
 
   const isStale = (): boolean =>
@@ -60,19 +60,19 @@
 
   const isPartitioned = (): boolean => peersReadAt > freshAt();
 
-  const notePeersRead = (askedAt: number, touch: StoreReachability): void => {
+  const recordPeerAccess = (probedAt: number, reachability: StoreReachability): void => {
     const viewAgeMs = Math.round(clock.now() - freshAt());
-    if (!isPartitioned()) log.warn('host.behind', { viewAgeMs, touch });
-    peersReadAt = askedAt;
+    if (!isPartitioned()) log.warn('host.behind', { viewAgeMs, touch: reachability });
+    peersReadAt = probedAt;
   };
 
   const leaveIfPartitioned = async ({ openItems, leave }: PartitionActions): Promise<void> => {
-    const askedAt = clock.now();
-    nextProbeAt = askedAt + PROBE_INTERVAL_MS;
-    const touch = await probePeers();
-    if (touch !== 'none') notePeersRead(askedAt, touch);
+    const probedAt = clock.now();
+    nextProbeAt = probedAt + PROBE_INTERVAL_MS;
+    const reachability = await probePeers();
+    if (reachability !== 'none') recordPeerAccess(probedAt, reachability);
     // A host that resumes reading later than others after a general outage is not partitioned.
-    if (touch !== 'steady') return;
+    if (reachability !== 'steady') return;
     const details = { viewAgeMs: Math.round(clock.now() - freshAt()), items: openItems() };
     isAnnounced = (await leave()) || isAnnounced;
     log.warn('host.cut-off', { ...details, isAnnounced });
--- a/packages/batches/src/newPeerCalls.ts
+++ b/packages/batches/src/newPeerCalls.ts
@@ -42,7 +42,7 @@
   const clients = new Map<string, PeerClient>();
   const unreachableUntil = new Map<string, number>();
 
-  const clientOf = ({ address }: PeerAddress): PeerClient => {
+  const getClient = ({ address }: PeerAddress): PeerClient => {
     const client =
       clients.get(address) ??
       createTRPCClient<PeerRouter>({ links: [httpLink({ url: `http://${address}/trpc` })] });
@@ -51,8 +51,9 @@
   };
 
   /**
-   * Probes whether a host is reachable once a call has failed or is slow.
-   * @param ended aborted once the call has ended and the result is not needed
+   * Probes whether a host is reachable once a call to it has failed or is slow.
+   * @param failed aborted when the call fails
+   * @param ended aborted when the call has ended, so that the result is no longer needed
    */
   const probe = async (
     peer: PeerAddress,
@@ -68,17 +69,17 @@
 
   const askUncached = async <Value>(
     peer: PeerAddress,
-    limitMs: number,
+    timeoutMs: number,
     call: PeerCall<Value>,
   ): Promise<PeerAnswer<Value>> => {
     const ended = new AbortController();
     const failed = new AbortController();
-    const signal = AbortSignal.any([ended.signal, AbortSignal.timeout(limitMs)]);
+    const signal = AbortSignal.any([ended.signal, AbortSignal.timeout(timeoutMs)]);
     const startedAt = clock.now();
     let reason = 'silent';
     const run = async (): Promise<Value> => {
       signal.throwIfAborted();
-      return call.run(clientOf(peer), signal);
+      return call.run(getClient(peer), signal);
     };
     const first = run().catch((error: Error) => {
       reason = error.message;
@@ -116,10 +117,10 @@
     /** Calls a host unless it was unreachable a moment ago. */
     ask: async <Value>(
       peer: PeerAddress,
-      limitMs: number,
+      timeoutMs: number,
       call: PeerCall<Value>,
     ): Promise<PeerAnswer<Value>> => {
-      if (!isKnownUnreachable(peer)) return askUncached(peer, limitMs, call);
+      if (!isKnownUnreachable(peer)) return askUncached(peer, timeoutMs, call);
       log.warn('peer.passed-over', { call: call.name, peer: peer.host });
       return { type: 'gone' };
     },
--- a/packages/batches/src/newPeers.ts
+++ b/packages/batches/src/newPeers.ts
@@ -48,8 +48,8 @@
   random: () => number = Math.random,
 ): Peer[] =>
   peers
-    .map((peer) => ({ peer, at: random() + (peer.failureDomain === failureDomain ? 1 : 0) }))
-    .sort((left, right) => left.at - right.at)
+    .map((peer) => ({ peer, order: random() + (peer.failureDomain === failureDomain ? 1 : 0) }))
+    .sort((left, right) => left.order - right.order)
     .slice(0, MAX_PEERS_ASKED)
     .map(({ peer }) => peer);
 
@@ -128,7 +128,7 @@
      * has healed no host has answered lately, and without probes this host would take the partition
      * for a general outage.
      */
-    touch: async (): Promise<StoreReachability> => {
+    probeStoreAccess: async (): Promise<StoreReachability> => {
       const chosen = choosePeers(readPeers(), failureDomain, random);
       const answers = await Promise.all(
         chosen.map((peer) =>
@@ -142,17 +142,17 @@
       return answers.some((answer) => isAnswer(answer, 'new')) ? 'new' : 'none';
     },
     /** Asks some peers to write a record; returns as soon as one has written it. */
-    keep: async (record: BatchChange): Promise<WriteOutcome> => {
+    write: async (record: BatchChange): Promise<WriteOutcome> => {
       const chosen = choosePeers(readPeers(), failureDomain, random);
       const startedAt = clock.now();
-      const asked = chosen.map((peer) => askToWrite(peer, record));
-      const written = asked.map(async (answer) =>
+      const pendingWrites = chosen.map((peer) => askToWrite(peer, record));
+      const successfulWrites = pendingWrites.map(async (answer) =>
         (await answer) === 'written'
           ? ('written' as const)
           : Promise.reject(new Error('not written')),
       );
-      const outcome: WriteOutcome = await Promise.any(written).catch(async () =>
-        (await Promise.all(asked)).includes('unknown') ? 'unknown' : 'not-written',
+      const outcome: WriteOutcome = await Promise.any(successfulWrites).catch(async () =>
+        (await Promise.all(pendingWrites)).includes('unknown') ? 'unknown' : 'not-written',
       );
       log.info('peers.asked', {
         type: record.type,
--- a/packages/batches/src/newRefusals.ts
+++ b/packages/batches/src/newRefusals.ts
@@ -14,7 +14,7 @@
   const keyOf = (upstream: string, model: string | null): string => `${upstream} ${model ?? ''}`;
 
   return {
-    note: (upstream: string, model: string | null): void => {
+    record: (upstream: string, model: string | null): void => {
       refusingUntil.set(keyOf(upstream, model), clock.now() + REFUSAL_BACKOFF_MS);
     },
     isRefusing: (upstream: string, model: string | null): boolean =>
--- a/packages/batches/src/newRequestReader.ts
+++ b/packages/batches/src/newRequestReader.ts
@@ -33,9 +33,9 @@
 /**
  * Reads the items of batches with their requests, for the host that runs them or is asked for one.
  *
- * Requests are nine tenths of what is written for a batch. In the topic that all hosts follow, each
- * host would read and parse what only one of them needs, and hosts that start together would share
- * the store's bandwidth for seconds before any of them knew a batch.
+ * Requests are nine tenths of what is written for a batch. If they were in the topic that all hosts
+ * follow, each host would read and parse what only one of them needs, and hosts that start together
+ * would share the store's bandwidth for seconds before any of them knew a batch.
  */
 const newRequestReader = ({ clock, log, readTexts }: RequestReaderOptions) => {
   const pendingReads = new Map<string, Promise<Map<string, Item> | null>>();
@@ -60,8 +60,8 @@
 
   const startRead = (state: BatchState): Promise<Map<string, Item> | null> => {
     const { id } = state.batch;
-    const known = pendingReads.get(id);
-    if (known) return known;
+    const pendingRead = pendingReads.get(id);
+    if (pendingRead) return pendingRead;
     const isTooSoon = clock.now() < (retryAt.get(id) ?? -Infinity);
     if (!state.requestsPlace || isTooSoon) return Promise.resolve(null);
     const started = read(state, state.requestsPlace);
--- a/packages/batches/src/newResultPages.ts
+++ b/packages/batches/src/newResultPages.ts
@@ -6,8 +6,8 @@
 /** Size of a result without its text. */
 const RESULT_OVERHEAD_BYTES = 300;
 /**
- * A page is sent over the same link that its texts are read over; together both take less than the
- * 1.5 s that a caller waits.
+ * A page is sent over the same link over which its texts are read. Reading and sending together
+ * take less than the 1.5 s that a caller waits.
  */
 const READ_TIMEOUT_MS = 400;
 
--- a/packages/batches/src/newRunEndHandler.ts
+++ b/packages/batches/src/newRunEndHandler.ts
@@ -62,7 +62,7 @@
         return;
       case 'not-run':
         if (end.isUnreachable) health.recordFailure(upstream, end.reason);
-        else refusals.note(upstream, state.batch.model);
+        else refusals.record(upstream, state.batch.model);
         task.avoidedUpstream = upstream;
         requeue(task, 0);
         return;
--- a/packages/batches/src/newTaskList.ts
+++ b/packages/batches/src/newTaskList.ts
@@ -90,9 +90,9 @@
       retained !== undefined &&
       !logged?.isComplete &&
       retained.progress.events.length >= (logged?.progress.events.length ?? 0);
-    const found = isRetainedLonger ? retained : logged;
-    if (found?.digest !== digest) return null;
-    return meetsMinVersion(found.progress, minVersion) ? found : null;
+    const text = isRetainedLonger ? retained : logged;
+    if (text?.digest !== digest) return null;
+    return meetsMinVersion(text.progress, minVersion) ? text : null;
   };
 
   const add = (state: BatchState, item: Item, head: ItemHead): ItemTask => {
--- a/packages/batches/src/newTextReader.ts
+++ b/packages/batches/src/newTextReader.ts
@@ -29,8 +29,9 @@
  * for the next caller.
  */
 const ABANDONED_CALL_TIMEOUT_MS = 300;
-/** Number of retries of unanswered calls, and the first backoff, which doubles. */
+/** Number of retries of unanswered calls. */
 const MAX_RETRIES = 2;
+/** Backoff before the first retry; doubles with each further one. */
 const INITIAL_BACKOFF_MS = 25;
 
 /** Reason why a read ends before all texts are available. */
@@ -52,7 +53,7 @@
   /** Whether the first text is available, so that a response would not be empty. */
   hasFirstText: () => boolean;
   deadline: number;
-  found: Map<string, Buffer>;
+  bodies: Map<string, Buffer>;
   missing: RecordPlace[];
   maxKb: number;
   mayStartEarlier: boolean;
@@ -61,23 +62,23 @@
   bytes: number;
 }
 
-const hasRecord = (found: Map<string, Buffer>, record: RecordPlace): boolean =>
-  found.get(recordKey(record))?.length === record.bytes;
+const hasRecord = (bodies: Map<string, Buffer>, record: RecordPlace): boolean =>
+  bodies.get(recordKey(record))?.length === record.bytes;
 
-const joinText = (found: Map<string, Buffer>, place: TextPlace | null): string =>
+const joinText = (bodies: Map<string, Buffer>, place: TextPlace | null): string =>
   Buffer.concat(
-    recordPlaces(place).map((record) => found.get(recordKey(record)) ?? Buffer.alloc(0)),
+    recordPlaces(place).map((record) => bodies.get(recordKey(record)) ?? Buffer.alloc(0)),
   ).toString();
 
 /** Reads texts from the store or from the cache. */
 const newTextReader = ({ clock, log, store, cache }: TextReaderOptions) => {
   const findCached = (records: RecordPlace[]): Map<string, Buffer> => {
-    const found = new Map<string, Buffer>();
+    const bodies = new Map<string, Buffer>();
     records.forEach((record) => {
       const body = cache.get(record.topic, record.offset);
-      if (body?.length === record.bytes) found.set(recordKey(record), body);
+      if (body?.length === record.bytes) bodies.set(recordKey(record), body);
     });
-    return found;
+    return bodies;
   };
 
   /**
@@ -106,7 +107,7 @@
     signal: AbortSignal,
   ): Promise<CallOutcome> => {
     const { topic, from, maxKb } = planTextRead(state.missing, first, state);
-    const askedAt = clock.now();
+    const startedAt = clock.now();
     const page = await store.read(topic, from, 0, signal, maxKb);
     if (!page.ok) {
       log.warn('texts.read-failed', { topic, from, fault: page.val });
@@ -115,11 +116,11 @@
     const { records } = page.val;
     records.forEach(({ offset, body }) => {
       state.bytes += body.length;
-      state.found.set(recordKey({ topic, offset }), body);
+      state.bodies.set(recordKey({ topic, offset }), body);
       cache.put(topic, offset, body);
     });
-    state.mayStartEarlier = hasRecord(state.found, first);
-    const isFast = clock.now() < askedAt + FAST_READ_MS;
+    state.mayStartEarlier = hasRecord(state.bodies, first);
+    const isFast = clock.now() < startedAt + FAST_READ_MS;
     if (isFast) state.maxKb = Math.min(MAX_READ_KB, Math.max(state.maxKb, 2 * maxKb));
     return records.length > 0 ? CONTINUE : { type: 'over', fault: 'no-records' };
   };
@@ -127,7 +128,7 @@
   const readNext = async (state: ReadState, first: RecordPlace): Promise<CallOutcome> => {
     // A record of another size belongs to another text: the location is wrong, and returning the
     // record would be worse than returning nothing.
-    if (state.found.has(recordKey(first))) return { type: 'over', fault: 'misplaced' };
+    if (state.bodies.has(recordKey(first))) return { type: 'over', fault: 'misplaced' };
     const until = state.deadline + (state.hasFirstText() ? 0 : FIRST_TEXT_GRACE_MS);
     if (clock.now() >= until) return { type: 'over', fault: 'late' };
     state.reads += 1;
@@ -155,13 +156,13 @@
 
   const newReadState = (places: (TextPlace | null)[], deadline: number): ReadState => {
     const records = places.flatMap(recordPlaces);
-    const found = findCached(records);
+    const bodies = findCached(records);
     const firstRecords = recordPlaces(places[0] ?? null);
     return {
-      hasFirstText: () => firstRecords.every((record) => hasRecord(found, record)),
+      hasFirstText: () => firstRecords.every((record) => hasRecord(bodies, record)),
       deadline,
-      found,
-      missing: records.filter((record) => !hasRecord(found, record)),
+      bodies,
+      missing: records.filter((record) => !hasRecord(bodies, record)),
       maxKb: INITIAL_READ_KB,
       mayStartEarlier: false,
       retries: 0,
@@ -175,26 +176,26 @@
    *
    * Texts may be far apart, and over a slow link they take longer than a caller waits. What one
    * host has read by then is of no use to the host that is asked next: if a read returned either
-   * all texts or none, every host would refuse it for ever.
+   * all texts or none, every host would refuse the caller for ever.
    * @param deadline on the monotonic clock; exceeded by up to 0.6 s if no text is available yet
    * @returns the available texts in the same order, up to the first one that is missing
    */
   return async (places: (TextPlace | null)[], deadline: number): Promise<string[]> => {
     const startedAt = clock.now();
     const state = newReadState(places, deadline);
-    const { found } = state;
+    const { bodies } = state;
     let fault: ReadFault | null = null;
     for (let [first] = state.missing; first && fault === null; [first] = state.missing) {
       const outcome = await readNext(state, first);
       if (outcome.type === 'over') fault = outcome.fault;
-      state.missing = state.missing.filter((record) => !hasRecord(found, record));
+      state.missing = state.missing.filter((record) => !hasRecord(bodies, record));
     }
     logRead(state, startedAt, fault);
     const isAvailable = (place: TextPlace | null): boolean =>
-      recordPlaces(place).every((record) => hasRecord(found, record));
+      recordPlaces(place).every((record) => hasRecord(bodies, record));
     const firstUnread = places.findIndex((place) => !isAvailable(place));
     const available = firstUnread === -1 ? places : places.slice(0, firstUnread);
-    return available.map((place) => joinText(found, place));
+    return available.map((place) => joinText(bodies, place));
   };
 };
 
--- a/packages/batches/src/newTexts.ts
+++ b/packages/batches/src/newTexts.ts
@@ -29,10 +29,10 @@
 /**
  * Stores complete texts of items separately from the records that all hosts follow.
  *
- * Texts are nine tenths of all bytes. In the followed log, each host would read them all, and after
- * a restart of all hosts no work could start before that: ten hosts took 3.4 s for 26 MB each,
- * limited by the store's 80 MB/s. So a result contains the location of its text, and the host that
- * is asked for the text reads it on demand.
+ * Texts are nine tenths of all bytes. If they were in the log that all hosts follow, each host
+ * would read them all, and after a restart of all hosts no work could start before that: ten hosts
+ * took 3.4 s for 26 MB each, limited by the store's 80 MB/s. So a result contains the location of
+ * its text, and the host that is asked for the text reads it on demand.
  */
 const newTexts = ({ clock, log, store, producer }: TextsOptions) => {
   const writers = new Map<string, StoreWriter>();
--- a/packages/batches/src/peerRouter.ts
+++ b/packages/batches/src/peerRouter.ts
@@ -8,7 +8,7 @@
 
 export const writeOutcomeSchema = z.enum(['written', 'not-written', 'unknown']);
 
-/** How well a host reaches the store: not at all, again since a moment ago, or for some time. */
+/** How well a host reaches the store: not at all, only since recently, or steadily. */
 export type StoreReachability = 'none' | 'new' | 'steady';
 
 /** Maximum time that a host spends on a peer's record, in milliseconds. */
@@ -33,8 +33,8 @@
 export type BatchExecutor = z.infer<typeof executorSchema>;
 
 /**
- * Outcome of an order to begin a batch: the host runs it, has read that the store has it, or takes
- * no new work.
+ * Outcome of an order to begin a batch: the host runs it, already has it from the store or has
+ * handed it over, or takes no new work.
  */
 export type BeginOutcome = 'begun' | 'kept' | 'leaving';
 
@@ -46,7 +46,7 @@
   begin: (batch: Batch) => BeginOutcome;
   /** Whether this host has begun a batch. */
   hasBegun: (batch: string) => boolean;
-  /** Notes that another host has begun a batch. */
+  /** Records that another host has begun a batch. */
   noteBegun: (begun: BatchExecutor) => void;
   /** Takes over a batch of another host; @returns whether this host takes it. */
   takeOver: (handover: Handover) => Promise<boolean>;
--- a/packages/batches/src/planMoves.ts
+++ b/packages/batches/src/planMoves.ts
@@ -16,14 +16,14 @@
  */
 const planMoves = (
   running: ServedItem[],
-  candidatesOf: (service: string) => Candidate[],
+  getCandidates: (service: string) => Candidate[],
   isListed: (upstream: string) => boolean,
 ): RunningItem[] =>
   [...groupBy(running, ({ service }) => service)].flatMap(([service, items]) => {
-    const known = candidatesOf(service);
+    const candidates = getCandidates(service);
     const isDraining = (id: string): boolean =>
-      isListed(id) && !known.some(({ entry }) => entry.id === id);
-    return findMoves(items, known, isDraining);
+      isListed(id) && !candidates.some(({ entry }) => entry.id === id);
+    return findMoves(items, candidates, isDraining);
   });
 
 export default planMoves;
--- a/packages/batches/src/planStarts.ts
+++ b/packages/batches/src/planStarts.ts
@@ -46,7 +46,7 @@
 
 const isEligible = (
   item: WaitingItem,
-  { entry, load, isBackedOff: isResting }: Candidate,
+  { entry, load, isBackedOff }: Candidate,
   isRefusing: RefusalCheck,
 ): boolean => {
   const version = item.model === null ? null : getLoadedVersion(entry, item.model);
@@ -54,7 +54,9 @@
     version === null ||
     (version >= item.minVersion &&
       (item.requiredVersion === null || version === item.requiredVersion));
-  return isVersionAllowed && load < entry.slots && !isResting && !isRefusing(entry.id, item.model);
+  return (
+    isVersionAllowed && load < entry.slots && !isBackedOff && !isRefusing(entry.id, item.model)
+  );
 };
 
 /**
@@ -69,7 +71,7 @@
   random?: () => number,
 ): PlannedStart[] => {
   const current = candidates
-    .filter(({ entry, load, isBackedOff: isResting }) => load < entry.slots && !isResting)
+    .filter(({ entry, load, isBackedOff }) => load < entry.slots && !isBackedOff)
     .map((candidate) => ({ ...candidate }));
   // Mostly all slots are taken, and sorting the items would be wasted work.
   if (current.length === 0) return [];
--- a/packages/batches/src/planTextRead.ts
+++ b/packages/batches/src/planTextRead.ts
@@ -32,7 +32,7 @@
 
 /**
  * Plans the next read. A read that starts before the first missing record also returns the
- * neighbours of that record but may end before it, and no text after the first missing one can be
+ * neighbours of that record, but may end before it. No text after the first missing one can be
  * returned without that one.
  */
 const planTextRead = (
--- a/packages/batches/src/storeBatch.ts
+++ b/packages/batches/src/storeBatch.ts
@@ -7,7 +7,7 @@
 export interface StoreBatchOptions {
   clock: Clock;
   batches: Pick<Batches, 'get' | 'onChange'>;
-  keep: BatchWriter['write'];
+  write: BatchWriter['write'];
 }
 
 /**
@@ -18,7 +18,7 @@
  * outage, and the caller would get an unknown outcome for a batch that every host can read.
  */
 const storeBatch = async (
-  { clock, batches, keep }: StoreBatchOptions,
+  { clock, batches, write }: StoreBatchOptions,
   batch: Batch,
   deadline: number,
 ): Promise<WriteOutcome> => {
@@ -28,7 +28,7 @@
   });
   // An append that is sent during an outage can remain unanswered past its writer's deadline.
   const timeout = clock.sleepUntil(deadline, observed.signal).then((): WriteOutcome => 'unknown');
-  const outcome = await Promise.race([keep(batch, deadline), timeout]);
+  const outcome = await Promise.race([write(batch, deadline), timeout]);
   stop();
   observed.abort('over');
   return batches.get(batch.id) ? 'written' : outcome;
--- a/packages/batches/tests/latePeers.test.ts
+++ b/packages/batches/tests/latePeers.test.ts
@@ -29,7 +29,7 @@
   const first = newCaller([late.peer]);
   const second = newCaller([late.peer, quick.peer]);
   await first.begin(handover.batch);
-  await second.touch();
+  await second.probeStoreAccess();
   await second.begin(handover.batch);
   t.deepEqual([...quick.begun], []);
   [late, quick].forEach(({ server }) => server.close());
@@ -82,8 +82,8 @@
   peer.server.on('request', ({ socket }) => unused.delete(socket));
   const caller = newCaller([peer.peer]);
   t.is(await caller.handOver(handover), 'c');
-  t.is(await caller.touch(), 'steady');
-  t.is(await caller.touch(), 'steady');
+  t.is(await caller.probeStoreAccess(), 'steady');
+  t.is(await caller.probeStoreAccess(), 'steady');
   t.is(unused.size, 0);
   peer.server.closeAllConnections();
   peer.server.close();
--- a/packages/batches/tests/newAssignment.test.ts
+++ b/packages/batches/tests/newAssignment.test.ts
@@ -11,7 +11,7 @@
   const live = new Set(['owner', 'executor']);
   const batches = newBatches({ clock, retentionMs: 120_000, parts: newPartialTexts(clock) });
   const takeovers = newTakeovers({ clock, isOwner: () => isOwner, readParts: async () => {} });
-  const isLive = (run: string): boolean => live.has(run);
+  const isLive = (otherIncarnation: string): boolean => live.has(otherIncarnation);
   const left = new Set<string>();
   const hasLeft = (host: string): boolean => left.has(host);
   const isLeaving = (): boolean => false;
@@ -82,7 +82,7 @@
   // it first, and the record of the host that began it follows some milliseconds later.
   const owner = newHost('owner', true);
   await new Promise(setImmediate);
-  owner.batches.noteExecutor(reported);
+  owner.batches.recordExecutor(reported);
   await owner.clock.advance(5_000);
   owner.batches.apply(batch);
   t.deepEqual(owner.isAssigned(), [false]);
@@ -96,7 +96,7 @@
   // Guards against a step that no host runs, since the host that was told to begin it has died.
   const owner = newHost('owner', true);
   await new Promise(setImmediate);
-  owner.batches.noteExecutor(reported);
+  owner.batches.recordExecutor(reported);
   owner.batches.apply(batch);
   await owner.clock.advance(2_500);
   t.deepEqual(owner.isAssigned(), [true]);
@@ -136,7 +136,7 @@
   await new Promise(setImmediate);
   old.batches.apply(batch);
   t.deepEqual(old.isAssigned(), [true]);
-  old.batches.noteHandedOver('b');
+  old.batches.markHandedOver('b');
   t.deepEqual(old.isAssigned(), [false]);
   old.live.add('taker');
   old.batches.apply({ ...begun, host: 'taker', incarnation: 'taker', from: 'owner' });
@@ -159,7 +159,7 @@
   const old = newHost('owner', true);
   await new Promise(setImmediate);
   old.batches.apply(batch);
-  old.batches.noteHandedOver('b');
+  old.batches.markHandedOver('b');
   old.view.isStale = true;
   await old.clock.advance(5_000);
   t.deepEqual(
--- a/packages/batches/tests/newBatchRunner.test.ts
+++ b/packages/batches/tests/newBatchRunner.test.ts
@@ -4,7 +4,7 @@
 import newRunnerHost from './newRunnerHost.js';
 
 const scoring = { id: 's1', hostName: 'parts.example', path: '/score', body: '' };
-const other = { ...scoring, id: 's2' };
+const otherScoring = { ...scoring, id: 's2' };
 
 const completePart: Part = {
   type: 'part',
@@ -69,7 +69,7 @@
   // another host. Scoring calls for them would run seconds after their customer was told that the
   // whole batch had ended.
   const { clock, batches, observed, state, resumeEngine, close } = newRunnerHost();
-  const batch = newBatch('b', [newItem('1', { scoring }), newItem('2', { scoring: other })]);
+  const batch = newBatch('b', [newItem('1', { scoring }), newItem('2', { scoring: otherScoring })]);
   state.isSlow = true;
   batches.apply(batch);
   await clock.advance(300);
--- a/packages/batches/tests/newBatchWriter.test.ts
+++ b/packages/batches/tests/newBatchWriter.test.ts
@@ -14,7 +14,7 @@
   const store = memory.newView(faults);
   const writer = newStoreWriter({ clock, log: silentLog, store, topic: 'b', producer: 'host-1' });
   const calls: string[] = [];
-  const keeper = newBatchWriter({
+  const batchWriter = newBatchWriter({
     clock,
     log: silentLog,
     writeHere: (record, deadline) => writer.write([Buffer.from(JSON.stringify(record))], deadline),
@@ -26,14 +26,14 @@
       calls.push(`begin ${id}`);
     },
   });
-  const keepBatch = () => keeper.write(newBatch('b', [newItem('1')]), clock.now() + 900);
-  const keepEnd = () => keeper.write({ type: 'batch-end', batch: 'b' }, clock.now() + 900);
-  return { clock, memory, faults, calls, keepBatch, keepEnd };
+  const writeBatch = () => batchWriter.write(newBatch('b', [newItem('1')]), clock.now() + 900);
+  const writeEnd = () => batchWriter.write({ type: 'batch-end', batch: 'b' }, clock.now() + 900);
+  return { clock, memory, faults, calls, writeBatch, writeEnd };
 };
 
 test('a batch is written at once while the store is available', async (t) => {
-  const { clock, calls, keepBatch } = newFixture('written');
-  const outcome = keepBatch();
+  const { clock, calls, writeBatch } = newFixture('written');
+  const outcome = writeBatch();
   await clock.advance(1);
   t.is(await outcome, 'written');
   t.deepEqual(calls, []);
@@ -42,9 +42,9 @@
 test('a batch that is sent to a host that the store rejects is written through another host', async (t) => {
   // The store rejects a third of the hosts for nine seconds. A trainer that contacted one of them
   // was refused, retried once, and lost its step.
-  const { clock, faults, calls, keepBatch } = newFixture('written');
+  const { clock, faults, calls, writeBatch } = newFixture('written');
   faults.isRefusing = true;
-  const outcome = keepBatch();
+  const outcome = writeBatch();
   await clock.advance(350);
   t.is(await outcome, 'written');
   t.deepEqual(calls, ['ask']);
@@ -54,9 +54,9 @@
   // The store is down for six seconds, and a step is sent at the start. If it is refused it is
   // lost, although its items can run without being stored. Once they may run, "not run" would be
   // false even if the store certainly does not have the batch.
-  const { clock, faults, calls, keepBatch } = newFixture('not-written');
+  const { clock, faults, calls, writeBatch } = newFixture('not-written');
   faults.isRefusing = true;
-  const outcome = keepBatch();
+  const outcome = writeBatch();
   await clock.advance(600);
   t.deepEqual(calls, ['ask', 'begin b']);
   await clock.advance(600);
@@ -64,9 +64,9 @@
 });
 
 test("a batch is still written if the store recovers within the caller's timeout", async (t) => {
-  const { clock, memory, faults, keepBatch } = newFixture('not-written');
+  const { clock, memory, faults, writeBatch } = newFixture('not-written');
   faults.isRefusing = true;
-  const outcome = keepBatch();
+  const outcome = writeBatch();
   await clock.advance(500);
   faults.isRefusing = false;
   await clock.advance(500);
@@ -75,9 +75,9 @@
 });
 
 test('an end that no host could write is reported as not written', async (t) => {
-  const { clock, faults, calls, keepEnd } = newFixture('not-written');
+  const { clock, faults, calls, writeEnd } = newFixture('not-written');
   faults.isRefusing = true;
-  const outcome = keepEnd();
+  const outcome = writeEnd();
   await clock.advance(1_200);
   t.is(await outcome, 'not-written');
   t.deepEqual(calls, ['ask'], 'an end does not begin a batch');
--- a/packages/batches/tests/newBatches.test.ts
+++ b/packages/batches/tests/newBatches.test.ts
@@ -76,15 +76,15 @@
   t.true(pieces.length > 1);
   t.true(pieces.every(({ length }) => length < 262_144));
   const assemble = newRecordAssembler();
-  const whole = pieces.map((piece) => assemble(JSON.parse(piece.toString())));
-  t.deepEqual(whole.at(-1), JSON.parse(JSON.stringify(batch)));
-  t.true(whole.slice(0, -1).every((part) => part === null));
+  const assembled = pieces.map((piece) => assemble(JSON.parse(piece.toString())));
+  t.deepEqual(assembled.at(-1), JSON.parse(JSON.stringify(batch)));
+  t.true(assembled.slice(0, -1).every((part) => part === null));
 });
 
 test('pieces of a record whose beginning was trimmed are ignored', (t) => {
   // The log starts in the middle of a large record.
   const pieces = encodeRecord(newBatch('b', [newItem('1', { body: 'x'.repeat(500_000) })]), 'p');
   const assemble = newRecordAssembler();
-  const whole = pieces.slice(1).map((piece) => assemble(JSON.parse(piece.toString())));
-  t.true(whole.every((part) => part === null));
+  const assembled = pieces.slice(1).map((piece) => assemble(JSON.parse(piece.toString())));
+  t.true(assembled.every((part) => part === null));
 });
--- a/packages/batches/tests/newPartitionMonitor.test.ts
+++ b/packages/batches/tests/newPartitionMonitor.test.ts
@@ -15,7 +15,7 @@
     openItems: 5,
   };
   const end = new AbortController();
-  const watch = newPartitionMonitor({
+  const monitor = newPartitionMonitor({
     clock,
     log: silentLog,
     freshAt: () => {
@@ -28,13 +28,13 @@
     state.handovers += 1;
     return true;
   };
-  const running = watch.run({ openItems: () => state.openItems, leave }, end.signal);
+  const running = monitor.run({ openItems: () => state.openItems, leave }, end.signal);
   const close = async (): Promise<void> => {
     end.abort();
     await clock.advance(300);
     await running;
   };
-  return { clock, state, watch, close };
+  return { clock, state, monitor, close };
 };
 
 test('a host that alone is partitioned from the store hands its batches over', async (t) => {
@@ -50,12 +50,12 @@
 });
 
 test('while no host reaches the store each host keeps its batches', async (t) => {
-  const { clock, state, watch, close } = newHost();
+  const { clock, state, monitor, close } = newHost();
   state.isReached = false;
   state.others = 'none';
   await clock.advance(5_000);
   t.is(state.handovers, 0);
-  t.false(watch.isPartitioned());
+  t.false(monitor.isPartitioned());
   await close();
 });
 
@@ -79,25 +79,25 @@
   // The store rejects one host whose batch has just ended: the others have read the end, so none
   // takes the batch over, while the host itself cannot read it. If it assumed a general outage, in
   // which no host can end a batch, it would continue to run unwanted items.
-  const { clock, state, watch, close } = newHost();
+  const { clock, state, monitor, close } = newHost();
   await clock.advance(1_000);
   state.isReached = false;
-  t.false(watch.isPartitioned());
+  t.false(monitor.isPartitioned());
   await clock.advance(1_700);
-  t.true(watch.isPartitioned());
+  t.true(monitor.isPartitioned());
   state.isReached = true;
   await clock.advance(300);
-  t.false(watch.isPartitioned(), 'it has read the store since');
+  t.false(monitor.isPartitioned(), 'it has read the store since');
   await close();
 });
 
 test('peers that have just resumed reading cause no handover, but prevent new starts', async (t) => {
   // After a general outage, calls of some hosts hang a little longer than those of others.
-  const { clock, state, watch, close } = newHost();
+  const { clock, state, monitor, close } = newHost();
   state.isReached = false;
   state.others = 'new';
   await clock.advance(1_700);
   t.is(state.handovers, 0);
-  t.true(watch.isPartitioned());
+  t.true(monitor.isPartitioned());
   await close();
 });
--- a/packages/batches/tests/newPeers.test.ts
+++ b/packages/batches/tests/newPeers.test.ts
@@ -5,12 +5,12 @@
   // The first host is unreachable, and the second is leaving as well.
   const leaving = await newPeer('d', false);
   const willing = await newPeer('c', true);
-  const gone = { host: 'e', failureDomain: 'detroit', address: '127.0.0.1:1', cores: 1 };
-  const peers = newCaller([willing.peer, leaving.peer, gone]);
+  const unreachable = { host: 'e', failureDomain: 'detroit', address: '127.0.0.1:1', cores: 1 };
+  const peers = newCaller([willing.peer, leaving.peer, unreachable]);
   t.is(await peers.handOver(handover), 'c');
   t.is(willing.taken[0]?.batch.items[0]?.path, '/rounds/1');
   t.is(willing.taken[0]?.from, 'a-run');
-  t.is(await peers.touch(), 'steady');
+  t.is(await peers.probeStoreAccess(), 'steady');
   [leaving, willing].forEach(({ server }) => server.close());
 });
 
@@ -18,7 +18,7 @@
   const leaving = await newPeer('d', false);
   const peers = newCaller([leaving.peer]);
   t.is(await peers.handOver(handover), null);
-  t.is(await peers.touch(), 'none');
+  t.is(await peers.probeStoreAccess(), 'none');
   leaving.server.close();
 });
 
@@ -42,8 +42,8 @@
   // reaches both, and must find out that the second already runs the batch.
   const first = await newPeer('c', true);
   const second = await newPeer('b', true);
-  const cut = { ...first.peer, address: '127.0.0.1:1', cores: 1 };
-  await newCaller([cut, second.peer]).begin(handover.batch);
+  const unreachable = { ...first.peer, address: '127.0.0.1:1', cores: 1 };
+  await newCaller([unreachable, second.peer]).begin(handover.batch);
   await newCaller([first.peer, second.peer]).begin(handover.batch);
   t.deepEqual([...first.begun], []);
   t.deepEqual([...second.begun], ['b']);
--- a/packages/batches/tests/newRequestReader.test.ts
+++ b/packages/batches/tests/newRequestReader.test.ts
@@ -13,13 +13,13 @@
 const newFixture = () => {
   const clock = newManualClock();
   const batches = newBatches({ clock, retentionMs: 120_000, parts: newPartialTexts(clock) });
-  const store = { isAway: false, reads: 0 };
+  const store = { isUnavailable: false, reads: 0 };
   const requests = newRequestReader({
     clock,
     log: silentLog,
     readTexts: async () => {
       store.reads += 1;
-      return store.isAway ? [] : [JSON.stringify(batch.items)];
+      return store.isUnavailable ? [] : [JSON.stringify(batch.items)];
     },
   });
   batches.apply(newBatchHead(batch, place));
@@ -49,11 +49,11 @@
   // The store rejects this host when it comes to own a batch. If the batch were considered empty,
   // it would never run although this host owns it.
   const { clock, store, requests, state } = newFixture();
-  store.isAway = true;
+  store.isUnavailable = true;
   t.is(await requests.read(state), null);
   t.false(requests.isLoaded(state));
   t.is(store.reads, 1, 'not retried at once');
-  store.isAway = false;
+  store.isUnavailable = false;
   await clock.advance(150);
   t.false(requests.isLoaded(state));
   await clock.advance(10);
--- a/packages/batches/tests/newResultPages.test.ts
+++ b/packages/batches/tests/newResultPages.test.ts
@@ -69,8 +69,7 @@
   texts.every((text, index) => text === textOf(from + index));
 
 test('a batch whose texts are far apart is read to its end, each page by a host with an empty cache', async (t) => {
-  // After a power failure of all hosts every call was refused at its own time limit, on whichever
-  // host.
+  // After a power failure of all hosts, each host refused every call at the call's time limit.
   const fixture = await newFixture();
   let read = 0;
   let pages = 0;
@@ -113,8 +112,8 @@
   const fixture = await newFixture();
   const { read } = fixture.newReader();
   const askedAt = fixture.clock.now();
-  const asked = [0, 20, 40, 60].map((from) => read(fixture.results, from));
-  const pages = await advanceUntilSettled(fixture.clock, Promise.all(asked));
+  const pendingReads = [0, 20, 40, 60].map((from) => read(fixture.results, from));
+  const pages = await advanceUntilSettled(fixture.clock, Promise.all(pendingReads));
   const isReturned = (texts: string[], from: number): boolean =>
     texts.length > 0 && isInOrder(texts, from);
   t.true(pages.every((page, index) => isReturned(page?.texts ?? [], index * 20)));
--- a/packages/batches/tests/newSlowStore.ts
+++ b/packages/batches/tests/newSlowStore.ts
@@ -31,9 +31,9 @@
       from: number,
       waitMs: number,
       signal?: AbortSignal,
-      mostKb?: number,
+      maxKb?: number,
     ): Promise<Result<StorePage, StoreFault>> {
-      const page = await store.read(topic, from, waitMs, signal, mostKb);
+      const page = await store.read(topic, from, waitMs, signal, maxKb);
       const records = page.ok ? page.val.records : [];
       const bytes = records.reduce((sum, { body }) => sum + body.length, 0);
       freeAt = Math.max(freeAt, clock.now()) + bytes / bytesPerMs;
--- a/packages/batches/tests/peerHelpers.ts
+++ b/packages/batches/tests/peerHelpers.ts
@@ -64,7 +64,7 @@
         .reverse(),
     beginHere: () => 'leaving',
     hasBegunHere: () => false,
-    noteExecutorHere: () => {},
+    recordExecutorHere: () => {},
     findReportedExecutor: () => reported,
   });
 
--- a/packages/batches/tests/planning.test.ts
+++ b/packages/batches/tests/planning.test.ts
@@ -64,7 +64,7 @@
   // be sent to it again and again.
   const clock = newManualClock();
   const refusals = newRefusals(clock);
-  refusals.note('a', 'x');
+  refusals.record('a', 'x');
   const candidates = [newCandidate('a')];
   t.deepEqual(planStarts([waiting('1')], candidates, refusals.isRefusing), []);
   t.is(
@@ -133,9 +133,9 @@
     expectedTokens: 900,
     service,
   }));
-  const candidatesOf = (service: string) => [newCandidate(engines[service] ?? '')];
+  const getCandidates = (service: string) => [newCandidate(engines[service] ?? '')];
   t.deepEqual(
-    planMoves(running, candidatesOf, () => true),
+    planMoves(running, getCandidates, () => true),
     [],
   );
 });
--- a/packages/batches/tests/storeBatch.test.ts
+++ b/packages/batches/tests/storeBatch.test.ts
@@ -10,12 +10,12 @@
 const newHost = (outcome: WriteOutcome) => {
   const clock = newManualClock();
   const batches = newBatches({ clock, retentionMs: 120_000, parts: newPartialTexts(clock) });
-  const keep = async (_batch: unknown, deadline: number): Promise<WriteOutcome> => {
+  const write = async (_batch: unknown, deadline: number): Promise<WriteOutcome> => {
     await clock.sleepUntil(deadline);
     return outcome;
   };
   const batch = newBatch('b', [newItem('1')]);
-  const pending = storeBatch({ clock, batches, keep }, batch, clock.now() + 1_100);
+  const pending = storeBatch({ clock, batches, write }, batch, clock.now() + 1_100);
   return { clock, batches, batch, pending };
 };
 
@@ -45,11 +45,11 @@
   // time.
   const clock = newManualClock();
   const batches = newBatches({ clock, retentionMs: 120_000, parts: newPartialTexts(clock) });
-  const keep = async (): Promise<WriteOutcome> => {
+  const write = async (): Promise<WriteOutcome> => {
     await clock.sleepUntil(clock.now() + 2_600);
     return 'written';
   };
-  const pending = storeBatch({ clock, batches, keep }, newBatch('b', []), clock.now() + 1_100);
+  const pending = storeBatch({ clock, batches, write }, newBatch('b', []), clock.now() + 1_100);
   await clock.advance(1_101);
   t.is(await pending, 'unknown');
 });
