--- a/packages/engines/src/computeMaxConcurrentLoads.ts
+++ b/packages/engines/src/computeMaxConcurrentLoads.ts
@@ -1,4 +1,4 @@
-/** The weight store's bandwidth suffices for about a third of all engines at a time. */
+/** The weight store's bandwidth suffices for about a third of all engines; this stays below that. */
 const CONCURRENT_LOAD_FRACTION = 1 / 4;
 
 /**
--- a/packages/engines/src/findDueLoads.ts
+++ b/packages/engines/src/findDueLoads.ts
@@ -4,9 +4,9 @@
 import type { UpstreamEntry } from './upstreamEntry.js';
 
 /**
- * Time after which the next engine may load even if the previous one has not: a load takes 0.9 s,
- * the engine's entry shows it up to 1.2 s later, and the order itself takes time. An engine that
- * needs longer is unreachable or lost.
+ * Time after which the next group of engines may load even if the previous one has not: a load
+ * takes 0.9 s, the engine's entry shows it up to 1.2 s later, and the order itself takes time. An
+ * engine that needs longer is unreachable or lost.
  */
 const LOAD_TURN_MS = 2_600;
 /** Fraction of a model's engines that load concurrently while the others keep serving. */
--- a/packages/engines/src/loadWeights.ts
+++ b/packages/engines/src/loadWeights.ts
@@ -49,8 +49,8 @@
 }
 
 /**
- * Orders engines to load the newest weights while this host holds the lease, up to `maxConcurrentLoads` at
- * a time.
+ * Orders engines to load the newest weights while this host holds the lease, at most
+ * `maxConcurrentLoads` at a time.
  *
  * Engines may not check the fencing token, and an order whose answer was lost can be carried out
  * seconds later, after a newer one. Each order therefore carries the number of orders that the
--- a/packages/engines/src/newDirectory.ts
+++ b/packages/engines/src/newDirectory.ts
@@ -23,11 +23,11 @@
   let graceUntil = -Infinity;
 
   const removeUpstream = (id: string, reason: string): void => {
-    const found = listed.get(id);
-    if (!found) return;
+    const upstream = listed.get(id);
+    if (!upstream) return;
     listed.delete(id);
-    log.info('upstream.gone', { upstream: id, service: found.entry.service, reason });
-    listeners.forEach((listener) => listener(found.entry));
+    log.info('upstream.gone', { upstream: id, service: upstream.entry.service, reason });
+    listeners.forEach((listener) => listener(upstream.entry));
   };
 
   const removeExpired = (): void =>
@@ -62,10 +62,10 @@
       listed.set(entry.id, { entry, expiresAt: null });
     },
     remove: (id: string): void => {
-      const found = listed.get(id);
-      if (!found) return;
+      const upstream = listed.get(id);
+      if (!upstream) return;
       if (clock.now() >= graceUntil) removeUpstream(id, 'entry deleted');
-      else found.expiresAt = graceUntil;
+      else upstream.expiresAt = graceUntil;
     },
     /** Starts the grace period for entries that expired while the store was unavailable. */
     startGracePeriod: (): void => {
--- a/packages/engines/src/newHealth.ts
+++ b/packages/engines/src/newHealth.ts
@@ -4,7 +4,7 @@
 
 /** Back-off after the first failure; doubles with each consecutive one. */
 const INITIAL_BACKOFF_MS = 300;
-/** Long enough to keep requests away from a dead upstream, short enough to detect its recovery. */
+/** Long enough to keep requests off a dead upstream, short enough to detect its recovery soon. */
 const MAX_BACKOFF_MS = 3_000;
 /** Newest latencies per upstream; one stream of an engine yields this many within a second. */
 const MAX_LATENCY_SAMPLES = 15;
@@ -34,8 +34,8 @@
   const healthById = new Map<string, UpstreamHealth>();
 
   const getOrCreate = (id: string): UpstreamHealth => {
-    const found = healthById.get(id);
-    if (found) return found;
+    const known = healthById.get(id);
+    if (known) return known;
     const created: UpstreamHealth = {
       failures: 0,
       backoffUntil: -Infinity,
--- a/packages/engines/src/newLoads.ts
+++ b/packages/engines/src/newLoads.ts
@@ -26,8 +26,8 @@
       localCounts.set(id, countLocal(id) + 1);
     },
     end: (id: string): void => {
-      const left = countLocal(id) - 1;
-      if (left > 0) localCounts.set(id, left);
+      const remaining = countLocal(id) - 1;
+      if (remaining > 0) localCounts.set(id, remaining);
       else localCounts.delete(id);
     },
     report: (id: string, load: ReportedLoad): void => {
--- a/packages/engines/tests/weights.load.test.ts
+++ b/packages/engines/tests/weights.load.test.ts
@@ -120,7 +120,7 @@
   stop.abort();
   await clock.advance(ENTRY_INTERVAL_MS);
   await Promise.all(tasks);
-  return fractions.reduce((sum, share) => sum + share, 0) / fractions.length;
+  return fractions.reduce((sum, fraction) => sum + fraction, 0) / fractions.length;
 };
 
 test('steps of four trainers get slots on forty-eight engines', async (t) => {
@@ -128,9 +128,9 @@
   // second each, which may be one version old. If a fifth of them get a slot at once, all have run
   // before the next step arrives. When only one engine of a model, and of a failure domain, may
   // load at a time, the fraction is 0.06 instead of 0.24.
-  const share = await simulateSteps(48);
-  t.log(`fraction of items that get a slot at once: ${share.toFixed(2)}`);
-  t.true(share >= 0.2, `${share}`);
+  const fraction = await simulateSteps(48);
+  t.log(`fraction of items that get a slot at once: ${fraction.toFixed(2)}`);
+  t.true(fraction >= 0.2, `${fraction}`);
 });
 
 test('a fraction of a failure domain loads at a time, and at least one engine', (t) => {
--- a/packages/gateway/src/newPlainRelay.ts
+++ b/packages/gateway/src/newPlainRelay.ts
@@ -43,6 +43,7 @@
 
 export type RelayOutcome =
   | { type: 'answer'; answer: CompleteAnswer; upstream: string; upstreams: number }
+  /** `hasRun` is true if the request may have run at an upstream. */
   | { type: 'refusal'; refusal: Refusal; hasRun: boolean; upstreams: number };
 
 export interface RelayedRequest extends Omit<UpstreamRequest, 'deadline'> {
@@ -129,10 +130,14 @@
   };
 
   const computeHedgeDelayMs = (
-    { latencyMs: pace }: Candidate,
+    { latencyMs }: Candidate,
     { minHedgeDelayMs = 0 }: RelayedRequest,
   ): number =>
-    Math.max(minHedgeDelayMs, MIN_HEDGE_DELAY_MS, pace === null ? 0 : pace * HEDGE_LATENCY_FACTOR);
+    Math.max(
+      minHedgeDelayMs,
+      MIN_HEDGE_DELAY_MS,
+      latencyMs === null ? 0 : latencyMs * HEDGE_LATENCY_FACTOR,
+    );
 
   /** An answer is final unless it is a server error, which is retried if that is allowed. */
   const isFinal = (result: Attempt): boolean =>
@@ -142,6 +147,7 @@
     const tried = new Set<string>();
     const controllers = new Set<AbortController>();
     const running = new Set<Promise<{ result: Attempt; candidate: Candidate }>>();
+    /** Whether an upstream may have run the request. */
     let hasRun = false;
     let lastFailure: CompleteAnswer | null = null;
     let lastReason = 'no upstream';
@@ -196,14 +202,14 @@
       return next;
     };
 
-    let newest = startNext();
+    let newestCandidate = startNext();
     while (running.size > 0) {
       const hedgeTimer = new AbortController();
-      const mayHedge = request.isIdempotent && running.size === 1 && newest !== null;
+      const mayHedge = request.isIdempotent && running.size === 1 && newestCandidate !== null;
       const waitUntil = mayHedge
         ? Math.min(
             computeAnswerDeadline(request),
-            clock.now() + computeHedgeDelayMs(newest as Candidate, request),
+            clock.now() + computeHedgeDelayMs(newestCandidate as Candidate, request),
           )
         : computeAnswerDeadline(request);
       const first = await Promise.race([
@@ -221,7 +227,7 @@
             upstreams: tried.size,
           });
         }
-        newest = startNext();
+        newestCandidate = startNext();
       } else {
         const { result, candidate } = first;
         if (result.type === 'answer') {
@@ -241,7 +247,7 @@
           hasRun = hasRun || result.type === 'failed';
           lastReason = result.reason;
         }
-        if (running.size === 0) newest = startNext();
+        if (running.size === 0) newestCandidate = startNext();
       }
     }
     if (lastFailure) {
--- a/packages/gateway/src/newStreamRelay.ts
+++ b/packages/gateway/src/newStreamRelay.ts
@@ -47,6 +47,7 @@
   ): Promise<RelayOutcome> => {
     const tried = new Set<string>();
     let { lastEventId } = request;
+    /** Whether an upstream may have run the request. */
     let hasRun = false;
     let failure: { answer: UpstreamAnswer; body: Buffer; upstream: string } | null = null;
     let lastReason = 'no upstream';
--- a/packages/hosts/src/newMembers.ts
+++ b/packages/hosts/src/newMembers.ts
@@ -37,9 +37,9 @@
  *
  * A host expires once the view has advanced by the heartbeat lifetime without a heartbeat of that
  * host. Elapsed time alone is not evidence: when the store becomes unavailable, the newest
- * heartbeats are already some hundred milliseconds old. By the clock all hosts would expire while
- * the view still counts as fresh, and would drop the items that they hold. During an outage no host
- * can write, so hosts that were live before it get a full lifetime from its end.
+ * heartbeats are already some hundred milliseconds old. If hosts expired by the clock, all of them
+ * would expire while the view still counts as fresh, and unfinished items would be dropped. During
+ * an outage no host can write, so hosts that were live before it get a full lifetime from its end.
  *
  * The live hosts are read some hundred times a second, and with a hundred hosts computing them each
  * time took more CPU time than everything else. So the list is cached until a host joins, leaves or
@@ -64,24 +64,24 @@
 
   const apply = (heartbeat: Heartbeat): void => {
     const previous = knownHosts.get(heartbeat.host);
-    const isSameLiveRun =
+    const isSameLiveIncarnation =
       previous !== undefined &&
       isLive(previous) &&
       !heartbeat.isLeaving &&
       previous.heartbeat.incarnation === heartbeat.incarnation;
-    if (!isSameLiveRun) cachedLive = null;
+    if (!isSameLiveIncarnation) cachedLive = null;
     cachedLoad = null;
     const deadline = clock.now() + readLifetimeMs();
     knownHosts.set(heartbeat.host, { heartbeat, deadline, loadDeadline: deadline });
   };
 
   const computeLive = (): CachedResult<Member[]> => {
-    const found = [...knownHosts.values()].filter(isLive);
+    const liveHosts = [...knownHosts.values()].filter(isLive);
     return {
-      value: found
+      value: liveHosts
         .map(({ heartbeat }) => heartbeat)
         .sort((left, right) => (left.host < right.host ? -1 : 1)),
-      validUntil: Math.min(...found.map(({ deadline }) => deadline)),
+      validUntil: Math.min(...liveHosts.map(({ deadline }) => deadline)),
     };
   };
 
--- a/packages/hosts/src/newUsageCounts.ts
+++ b/packages/hosts/src/newUsageCounts.ts
@@ -55,6 +55,6 @@
   };
 };
 
-export type UsageCountsFold = ReturnType<typeof newUsageCounts>;
+export type UsageCountsView = ReturnType<typeof newUsageCounts>;
 
 export default newUsageCounts;
--- a/packages/hosts/src/reportWindows.ts
+++ b/packages/hosts/src/reportWindows.ts
@@ -4,7 +4,7 @@
 import type { CoordinationRecord } from './coordinationRecord.js';
 import type { LeaseKeeper } from './newLeaseKeeper.js';
 import type { Members } from './newMembers.js';
-import type { UsageCountsFold } from './newUsageCounts.js';
+import type { UsageCountsView } from './newUsageCounts.js';
 import type UsageReports from './UsageReports.js';
 
 const CHECK_INTERVAL_MS = 400;
@@ -22,7 +22,7 @@
   windowMs: number;
   lease: LeaseKeeper;
   members: Members;
-  usage: UsageCountsFold;
+  usage: UsageCountsView;
   reports: UsageReports;
   write: (record: CoordinationRecord, deadline: number) => Promise<WriteOutcome>;
 }
--- a/packages/hosts/tests/newMembers.test.ts
+++ b/packages/hosts/tests/newMembers.test.ts
@@ -48,8 +48,8 @@
 
 test('no host expires while the view does not advance', async (t) => {
   // The store becomes unresponsive 0.4 s after the newest heartbeats, and the view still counts as
-  // fresh for some hundred milliseconds. If hosts expired by the clock, unfinished items were
-  // dropped.
+  // fresh for some hundred milliseconds. If hosts expired by the clock, unfinished items would
+  // be dropped.
   const { clock, members, beat, live } = newParts();
   beat('a', 'b');
   await clock.advance(400);
@@ -83,7 +83,7 @@
 
 test('the load of other hosts expires while the view does not advance', async (t) => {
   // All engines are full when the heartbeat topic becomes unresponsive, while batches continue. If
-  // the old load counted until heartbeats resumed, the engines stayed idle for three seconds.
+  // the old load counted until heartbeats resumed, the engines would stay idle for three seconds.
   const { clock, members } = newParts();
   members.apply(newHeartbeat('a', { running: { engine: 5 } }));
   members.apply(newHeartbeat('b', { running: { engine: 7 } }));
--- a/packages/routing/src/findFailureCause.ts
+++ b/packages/routing/src/findFailureCause.ts
@@ -4,11 +4,11 @@
 
 /**
  * Why an upstream's answer ended early.
- * - `died`: the upstream refuses connections, and was neither reclaimed nor draining
+ * - `crashed`: the upstream refuses connections, and was neither reclaimed nor draining
  * - `taken-away`: the upstream was reclaimed or ordered to shut down
  * - `unclear`: the upstream still responds or is unreachable
  */
-export type FailureCause = 'died' | 'taken-away' | 'unclear';
+export type FailureCause = 'crashed' | 'taken-away' | 'unclear';
 
 /**
  * Determines why an upstream's answer ended early.
@@ -29,7 +29,7 @@
   const isTakenAway =
     current.status.reclaimed || current.status.state === 'leaving' || current.isLeaving;
   if (isTakenAway) return 'taken-away';
-  return !probe.ok && probe.val === 'not-sent' ? 'died' : 'unclear';
+  return !probe.ok && probe.val === 'not-sent' ? 'crashed' : 'unclear';
 };
 
 export default findFailureCause;
--- a/packages/routing/src/newGenerationRelay.ts
+++ b/packages/routing/src/newGenerationRelay.ts
@@ -82,7 +82,7 @@
     directory.recordFailure(upstream);
     if (isNotRun(fault)) return 'unclear';
     const cause = await findFailureCause(engine, directory, upstream);
-    if (cause === 'died') suspects.add(requestDigest, upstream.status.id);
+    if (cause === 'crashed') suspects.add(requestDigest, upstream.status.id);
     return cause;
   };
 
--- a/packages/routing/src/refusal.ts
+++ b/packages/routing/src/refusal.ts
@@ -69,5 +69,5 @@
   retryAt: number | null = null,
 ): Refusal => ({ code, outcome: 'not-run', message, retryAt });
 
-/** The priorities, most urgent first. */
+/** The priorities; in fair queueing, ties are resolved in this order. */
 export const PRIORITIES: readonly Priority[] = ['interactive', 'background', 'training'];
--- a/packages/routing/tests/relayHelpers.ts
+++ b/packages/routing/tests/relayHelpers.ts
@@ -95,7 +95,7 @@
     suspects,
     budget: newRetryBudget(),
   });
-  const ask = async (prompt = 'low D rings', contentDigest = prompt) => {
+  const relayPrompt = async (prompt = 'low D rings', contentDigest = prompt) => {
     const tokens: string[] = [];
     const answer = await relay(
       {
@@ -115,5 +115,5 @@
     );
     return { answer, tokens };
   };
-  return { clock, engine, directory, suspects, ask, list };
+  return { clock, engine, directory, suspects, relayPrompt, list };
 };
--- a/packages/store/src/hadOutage.ts
+++ b/packages/store/src/hadOutage.ts
@@ -1,4 +1,4 @@
-/** Reads are held open for half a second, so views refresh more often while the store answers. */
+/** Reads are held open for 0.5 s, so a view refreshes more often than this if the store answers. */
 const MAX_READ_INTERVAL_MS = 1_200;
 
 /**
--- a/packages/store/src/newKeyedFollower.ts
+++ b/packages/store/src/newKeyedFollower.ts
@@ -42,9 +42,9 @@
   };
 
   /** The record that deleted a key may have been trimmed; only the key's absence shows it then. */
-  const dropMissing = (found: Set<string>, end: number): void =>
+  const deleteMissing = (presentKeys: Set<string>, end: number): void =>
     [...offsets].forEach(([key, offset]) => {
-      if (!found.has(key) && offset < end) applyIfNewer({ key, offset: end, value: null });
+      if (!presentKeys.has(key) && offset < end) applyIfNewer({ key, offset: end, value: null });
     });
 
   const readSnapshot = async (signal?: AbortSignal): Promise<boolean> => {
@@ -53,7 +53,7 @@
     if (!snapshot.ok) return false;
     const { records, end } = snapshot.val;
     records.forEach(applyIfNewer);
-    dropMissing(new Set(records.map(({ key }) => key)), end);
+    deleteMissing(new Set(records.map(({ key }) => key)), end);
     log.info('store.snapshot', { topic, keys: records.length, end });
     next = end;
     freshAt = requestedAt;
@@ -81,7 +81,7 @@
     return true;
   };
 
-  const noteReadResult = (isRead: boolean): void => {
+  const recordReadResult = (isRead: boolean): void => {
     if (isRead && isUnavailable) {
       log.info('store.read-back', { topic, next });
       onRecovered?.();
@@ -94,7 +94,7 @@
     while (!signal.aborted) {
       const nextReadAt = clock.now() + readIntervalMs();
       const isRead: boolean = await (next === null ? readSnapshot(signal) : readTail(next, signal));
-      noteReadResult(isRead);
+      recordReadResult(isRead);
       await clock.sleepUntil(isRead ? nextReadAt : clock.now() + RETRY_DELAY_MS, signal);
     }
   };
--- a/packages/store/src/newMemoryStore.ts
+++ b/packages/store/src/newMemoryStore.ts
@@ -154,7 +154,7 @@
 
   /** Access to the store for one host, with injected faults. */
   const newView = (faults: StoreFaults = newNoFaults()): Store => {
-    const fault = (): Result<never, StoreFault> | null => {
+    const injectedFault = (): Result<never, StoreFault> | null => {
       if (faults.isUnresponsive) return Err({ type: 'unknown', reason: 'silent' });
       return faults.isRefusing ? Err({ type: 'not-done', reason: 'refusing' }) : null;
     };
@@ -165,7 +165,7 @@
         records: Buffer[],
         producer: Producer,
       ): Promise<Result<Appended, StoreFault>> {
-        const failed = fault();
+        const failed = injectedFault();
         if (failed) return failed;
         if (faults.appendsToDelay > 0) {
           faults.appendsToDelay -= 1;
@@ -187,7 +187,7 @@
       ): Promise<Result<StorePage, StoreFault>> {
         const waitUntil = Date.now() + waitMs;
         for (;;) {
-          const page = fault() ?? read(topic, from, maxKb);
+          const page = injectedFault() ?? read(topic, from, maxKb);
           const isEmpty = page.ok && page.val.records.length === 0;
           if (!isEmpty || Date.now() >= waitUntil || signal?.aborted) return page;
           await waitPollInterval();
@@ -195,13 +195,13 @@
       }
 
       async trim(topic: string, before: number): Promise<Result<void, StoreFault>> {
-        const failed = fault();
+        const failed = injectedFault();
         if (!failed) trim(topic, before);
         return failed ?? Ok(undefined);
       }
 
       async newest(topic: string): Promise<Result<KeyedSnapshot, StoreFault>> {
-        return fault() ?? Ok(newest(topic));
+        return injectedFault() ?? Ok(newest(topic));
       }
 
       parseKeyed({ offset, body }: StoredRecord): KeyedRecord {
--- a/packages/store/src/newStoreWriter.ts
+++ b/packages/store/src/newStoreWriter.ts
@@ -16,7 +16,7 @@
 interface Write {
   records: Buffer[];
   deadline: number;
-  settle: (placed: WriteResult) => void;
+  settle: (result: WriteResult) => void;
 }
 
 /** Maximum size of one append; the store's limit is 2 MiB per call. */
--- a/packages/store/src/newTopicFollower.ts
+++ b/packages/store/src/newTopicFollower.ts
@@ -54,7 +54,7 @@
   /** Totals of the reads until the view was complete for the first time. */
   const initialRead = { reads: 0, records: 0, bytes: 0 };
 
-  const noteInitialRead = (records: StoredRecord[], isCaughtUp: boolean): void => {
+  const recordInitialRead = (records: StoredRecord[], isCaughtUp: boolean): void => {
     if (freshAt !== -Infinity) return;
     initialRead.reads += 1;
     initialRead.records += records.length;
@@ -63,12 +63,12 @@
     if (isCaughtUp) log.info('store.caught-up', { topic, ...initialRead, tookMs });
   };
 
-  const noteRecovered = (): void => {
+  const recordRecovery = (): void => {
     if (isUnavailable) log.info('store.read-back', { topic, next });
     isUnavailable = false;
   };
 
-  const noteFailure = (reason: string): void => {
+  const recordFailure = (reason: string): void => {
     if (!isUnavailable) log.warn('store.read-failed', { topic, next, reason });
     isUnavailable = true;
   };
@@ -86,12 +86,12 @@
     const requestedAt = clock.now();
     const page = await store.read(topic, next, waitMs, signal, pageKb);
     if (page.ok) {
-      noteRecovered();
+      recordRecovery();
       pageKb = Math.min(MAX_PAGE_KB, pageKb + PAGE_GROWTH_KB);
       applyNew(page.val.records);
       knownEnd = Math.max(knownEnd, page.val.end);
       const isCaughtUp = next >= knownEnd;
-      noteInitialRead(page.val.records, isCaughtUp);
+      recordInitialRead(page.val.records, isCaughtUp);
       if (isCaughtUp) {
         if (hadOutage(freshAt, requestedAt)) lastOutageEndedAt = clock.now();
         freshAt = Math.max(freshAt, requestedAt);
@@ -105,7 +105,7 @@
       return true;
     }
     pageKb = Math.max(MIN_PAGE_KB, pageKb / 2);
-    noteFailure(page.val.type);
+    recordFailure(page.val.type);
     return false;
   };
 
--- a/packages/store/tests/FaultyStore.ts
+++ b/packages/store/tests/FaultyStore.ts
@@ -9,7 +9,7 @@
 
 /**
  * `lost` executes the append and loses the answer; `late` executes it after the call timed out;
- * `seq` and `fenced` reject it; `forgot` executes it after the producer's retained answers were
+ * `seq` and `fenced` reject it; `evicted` executes it after the producer's retained answers were
  * deleted, but not its last sequence number.
  */
 export type FaultKind =
@@ -22,7 +22,7 @@
   | 'late'
   | 'seq'
   | 'fenced'
-  | 'forgot';
+  | 'evicted';
 
 export interface Fault {
   kind: FaultKind;
@@ -64,11 +64,11 @@
     return Ok({ offset });
   };
 
-  const forgetAnswers = (name: string): void => {
+  const evictAnswers = (name: string): void => {
     producers.get(name)?.answers.splice(0);
   };
 
-  return { log, appendAs, forgetAnswers };
+  return { log, appendAs, evictAnswers };
 };
 
 export type Partition = ReturnType<typeof newPartition>;
@@ -91,7 +91,7 @@
     const bodies = records.map(String);
     const label = `${producer.name} epoch ${producer.epoch} seq ${producer.sequence}`;
     this.addTrace(`${label} sends [${bodies.join(' ')}] (${fault.kind})`);
-    if (fault.kind === 'forgot') this.partition.forgetAnswers(producer.name);
+    if (fault.kind === 'evicted') this.partition.evictAnswers(producer.name);
     const answer = await this.executeWithFault(fault, () => {
       const executed = this.partition.appendAs(producer, bodies);
       this.addTrace(`${label} [${bodies.join(' ')}] executed: ${format(executed)}`);
--- a/packages/store/tests/newStoreWriter.test.ts
+++ b/packages/store/tests/newStoreWriter.test.ts
@@ -89,8 +89,8 @@
 };
 
 test('an offset is correct although a write of its group expired before the answer was lost', async (t) => {
-  // The retry held one record more than the stored append. Each offset was one too high, so readers
-  // got another text or none.
+  // If the retry held one record more than the stored append, each offset would be one too high, and
+  // readers would get another text or none.
   const { clock, faults, texts, writes } = await expireFirstOfThree();
   faults.answersToLose = 1;
   await clock.advance(2_000);
@@ -103,8 +103,8 @@
 });
 
 test('an expired write is not appended when the rest of its group is retried', async (t) => {
-  // The caller of the expired write was told that nothing runs and sent it to another host. The
-  // retry still contained the write, so it was stored and ran as well.
+  // The caller of the expired write was told that nothing runs and sent it to another host. If the
+  // retry still contained the write, it would be stored and run here as well.
   const { clock, memory, faults, texts, writes } = await expireFirstOfThree();
   faults.appendsToDelay = 1;
   await clock.advance(2_000);
--- a/packages/store/tests/newStoreWriterPlaces.test.ts
+++ b/packages/store/tests/newStoreWriterPlaces.test.ts
@@ -13,7 +13,7 @@
 const UNCERTAIN_OUTCOMES: FaultKind[] = ['none', 'slow', 'lost', 'silent', 'late'];
 const REFUSED_OR_LOST: FaultKind[] = ['none', 'refused', 'lost'];
 const WITHOUT_PRODUCER_FAULTS: FaultKind[] = [...CERTAIN_OUTCOMES, ...UNCERTAIN_OUTCOMES];
-const ALL: FaultKind[] = [...WITHOUT_PRODUCER_FAULTS, 'seq', 'fenced', 'forgot'];
+const ALL: FaultKind[] = [...WITHOUT_PRODUCER_FAULTS, 'seq', 'fenced', 'evicted'];
 
 /** Integers in a range, reproducible by seed (Lehmer random number generator). */
 const newRandom = (seed: number) => {
--- a/packages/store/tests/newTrimmer.test.ts
+++ b/packages/store/tests/newTrimmer.test.ts
@@ -13,7 +13,7 @@
     trim(memory.put('parts', [Buffer.from(`of second ${second}`)]));
     await clock.advance(1_000);
   }
-  const left = memory.bodies('parts').map(String);
-  t.true(left.includes('of second 31'));
-  t.true(left.length < 40);
+  const retained = memory.bodies('parts').map(String);
+  t.true(retained.includes('of second 31'));
+  t.true(retained.length < 40);
 });
--- a/packages/store/tests/runWritePlan.ts
+++ b/packages/store/tests/runWritePlan.ts
@@ -28,8 +28,8 @@
   bodies.every((body, index) => log[offset + index] === body);
 
 /** How the result of a write contradicts the log; null if they agree. */
-const findContradiction = (log: string[], bodies: string[], placed: WriteResult): string | null => {
-  const { outcome, offset } = placed;
+const findContradiction = (log: string[], bodies: string[], result: WriteResult): string | null => {
+  const { outcome, offset } = result;
   if (outcome === 'unknown') return null;
   const appendedCount = bodies.filter((body) => log.includes(body)).length;
   if (outcome === 'not-written')
@@ -58,20 +58,22 @@
   const trace: string[] = [];
   const hosts = newHosts(clock, partition, plan, trace);
   const violations: string[] = [];
-  const settled = new Map<string, { bodies: string[]; placed: WriteResult }>();
+  const settled = new Map<string, { bodies: string[]; result: WriteResult }>();
   const check = (name: string, when: string): void => {
-    const { bodies, placed } = settled.get(name) ?? { bodies: [], placed: null };
-    const found = placed ? findContradiction(partition.log, bodies, placed) : 'never settled';
-    if (found !== null) violations.push(`${name} ${when}: ${found}`);
+    const { bodies, result } = settled.get(name) ?? { bodies: [], result: null };
+    const contradiction = result
+      ? findContradiction(partition.log, bodies, result)
+      : 'never settled';
+    if (contradiction !== null) violations.push(`${name} ${when}: ${contradiction}`);
   };
   const startWrite = ({ host, records, timeoutMs }: PlannedWrite, name: string): void => {
     const bodies = Array.from({ length: records }, (_, index) => `${name}.${index}`);
     const deadline = clock.now() + timeoutMs;
     trace.push(`${clock.now()} host-${host} writes [${bodies.join(' ')}], deadline ${deadline}`);
     const buffers = bodies.map((body) => Buffer.from(body));
-    hosts[host]?.writeWithOffset(buffers, deadline).then((placed) => {
-      trace.push(`${clock.now()} ${name} settles as ${JSON.stringify(placed)}`);
-      settled.set(name, { bodies, placed });
+    hosts[host]?.writeWithOffset(buffers, deadline).then((result) => {
+      trace.push(`${clock.now()} ${name} settles as ${JSON.stringify(result)}`);
+      settled.set(name, { bodies, result });
       check(name, 'when settled');
     });
   };
@@ -85,7 +87,7 @@
   const copies = partition.log.map(
     (body) => partition.log.filter((other) => other === body).length,
   );
-  const outcomes = [...settled.values()].map(({ placed: { outcome, offset } }) =>
+  const outcomes = [...settled.values()].map(({ result: { outcome, offset } }) =>
     outcome === 'written' && offset === null ? 'written, no offset' : outcome,
   );
   return { violations, trace, copies: Math.max(0, ...copies), outcomes };
--- a/scripts/naive.js
+++ b/scripts/naive.js
@@ -152,7 +152,7 @@
   [
     'no request is ever suspected',
     'packages/routing/dist/src/newGenerationRelay.js',
-    "if (cause === 'died')",
+    "if (cause === 'crashed')",
     'if (false)',
     'packages/routing',
     '*crashing a second upstream*',
@@ -160,8 +160,8 @@
   [
     'every broken answer counts as a death',
     'packages/routing/dist/src/findFailureCause.js',
-    "return !probe.ok && probe.val === 'not-sent' ? 'died' : 'unclear';",
-    "return 'died';",
+    "return !probe.ok && probe.val === 'not-sent' ? 'crashed' : 'unclear';",
+    "return 'crashed';",
     'packages/routing',
     '*make no request a suspect*',
   ],
