--- a/packages/gateway/tests/helpers.ts
+++ b/packages/gateway/tests/helpers.ts
@@ -73,7 +73,12 @@
   const sent: { upstream: string; request: UpstreamRequest; signal: AbortSignal }[] = [];
 
   class FakeClient extends UpstreamClient {
-    send(entry: UpstreamEntry, request: UpstreamRequest, _by: number, signal: AbortSignal) {
+    send(
+      entry: UpstreamEntry,
+      request: UpstreamRequest,
+      _firstByteDeadline: number,
+      signal: AbortSignal,
+    ) {
       sent.push({ upstream: entry.id, request, signal });
       return (behaviours[entry.id] ?? refusing)(request, signal);
     }
--- a/packages/hosts/tests/reportWindows.test.ts
+++ b/packages/hosts/tests/reportWindows.test.ts
@@ -60,13 +60,13 @@
     stop.abort();
     await running;
   };
-  return { clock, sent, lostAnswers: windowsWithLostAnswer, heartbeat, end };
+  return { clock, sent, windowsWithLostAnswer, heartbeat, end };
 };
 
 test('a report whose answer was lost is sent again with the same figures', async (t) => {
   // The platform accepts a report but its response is lost, and a host's late counts arrive before
   // the report is repeated. If it included them, the window would be reported with two totals.
-  const { clock, sent, lostAnswers: windowsWithLostAnswer, heartbeat, end } = newParts();
+  const { clock, sent, windowsWithLostAnswer, heartbeat, end } = newParts();
   windowsWithLostAnswer.add(99);
   heartbeat('a', { 99: { museum: 3 } }, 99);
   while (!sent.some(({ window }) => window === 99)) await clock.advance(100);
--- a/packages/store/tests/newStoreWriter.test.ts
+++ b/packages/store/tests/newStoreWriter.test.ts
@@ -78,11 +78,11 @@
 const expireFirstOfThree = async () => {
   const parts = newParts();
   const { clock, faults, writer } = parts;
-  const place = (text: string, timeoutMs: number) =>
+  const startWrite = (text: string, timeoutMs: number) =>
     writer.writeWithOffset([Buffer.from(text)], clock.now() + timeoutMs);
-  place('opening', 20_000);
+  startWrite('opening', 20_000);
   faults.isRefusing = true;
-  const writes = [place('a', 500), place('b', 20_000), place('c', 20_000)];
+  const writes = [startWrite('a', 500), startWrite('b', 20_000), startWrite('c', 20_000)];
   await clock.advance(1_000);
   faults.isRefusing = false;
   return { ...parts, writes };
