--- a/packages/coordination/src/applyLease.ts
+++ b/packages/coordination/src/applyLease.ts
@@ -43,7 +43,7 @@
   const stale = findStaleReason(leases, release);
   if (stale) return rejected(stale);
   const current = leases[release.lease];
-  if (!current || current.holder !== release.holder) return rejected('not the holder');
+  if (!current || current.holder !== release.holder) return rejected('released by another');
   leases[release.lease] = { holder: '', fence: current.fence, offset };
   return ACCEPTED;
 };
--- a/packages/coordination/src/applySample.ts
+++ b/packages/coordination/src/applySample.ts
@@ -33,8 +33,7 @@
   published: WeightsPublished,
 ): Decision => {
   const trainer = getOrCreateTrainer(trainers, published.trainer);
-  if (published.version <= trainer.version)
-    return rejected(`version ${trainer.version} is already published`);
+  if (published.version <= trainer.version) return rejected(`version ${trainer.version} is out`);
   trainer.version = published.version;
   return ACCEPTED;
 };
@@ -52,10 +51,10 @@
   const existing = trainer.steps[opened.step];
   if (existing) {
     const isSame = existing.groups === opened.groups && existing.groupSize === opened.groupSize;
-    return isSame ? ACCEPTED : rejected('the step is already open with different groups');
+    return isSame ? ACCEPTED : rejected('the step is open with another shape');
   }
   const newest = Math.max(-1, ...Object.keys(trainer.steps).map(Number));
-  if (opened.step < newest - MAX_STEPS) return rejected('the step is too old');
+  if (opened.step < newest - MAX_STEPS) return rejected('the step is long over');
   trainer.steps[opened.step] = {
     groups: opened.groups,
     groupSize: opened.groupSize,
@@ -85,8 +84,8 @@
 ): Decision => {
   const step = findStep(trainers, bound.trainer, bound.step);
   const slot = step?.slots[bound.slot];
-  if (!step || !slot) return rejected('the slot does not exist');
-  if (slot.attempt !== bound.attempt) return rejected('the slot was released in the meantime');
+  if (!step || !slot) return rejected('there is no such slot');
+  if (slot.attempt !== bound.attempt) return rejected('the slot was released since');
   if (slot.sample) return rejected('the slot is bound already');
   const limit = stalenessBound(settings, bound.trainer);
   const { version } = getOrCreateTrainer(trainers, bound.trainer);
@@ -102,7 +101,7 @@
   const step = findStep(trainers, released.trainer, released.step);
   const slot = step?.slots[released.slot];
   if (!step || !slot?.sample) return rejected('the slot is not bound');
-  if (slot.attempt !== released.attempt) return rejected('the slot was released in the meantime');
+  if (slot.attempt !== released.attempt) return rejected('the slot was released since');
   const position = step.delivery.indexOf(released.slot);
   if (position < step.offered) return rejected('the sample was offered to the trainer');
   step.delivery.splice(position, 1);
@@ -124,18 +123,17 @@
   offered: SamplesOffered,
 ): Decision => {
   const step = findStep(trainers, offered.trainer, offered.step);
-  if (!step) return rejected('the step does not exist');
-  if (offered.through <= step.offered) return rejected('the samples were already offered');
+  if (!step) return rejected('there is no such step');
+  if (offered.through <= step.offered) return rejected('offered already');
   const samples = step.delivery
     .slice(step.offered, offered.through)
     .map((slot) => step.slots[slot]?.sample ?? null);
   const currentDigests = samples.map((sample) => sample?.digest).join();
-  if (currentDigests !== offered.digests.join())
-    return rejected('the positions hold other samples');
+  if (currentDigests !== offered.digests.join()) return rejected('the positions have moved');
   const limit = stalenessBound(settings, offered.trainer) ?? 0;
   const { version } = getOrCreateTrainer(trainers, offered.trainer);
   const isAllFresh = samples.every((sample) => sample && isFresh(sample.segments, version, limit));
-  if (!isAllFresh) return rejected('a sample is too old');
+  if (!isAllFresh) return rejected('a sample has grown too old');
   step.offered = offered.through;
   return ACCEPTED;
 };
--- a/packages/coordination/src/newFold.ts
+++ b/packages/coordination/src/newFold.ts
@@ -97,7 +97,7 @@
   };
 
   const decideOnce = (offset: number, envelope: Envelope, record: SystemRecord): Decision => {
-    if (recentIds.has(envelope.id)) return rejected('duplicate record');
+    if (recentIds.has(envelope.id)) return rejected('landed twice');
     rememberId(envelope.id);
     return decide(state, offset, record);
   };
--- a/packages/settings/src/findConflicts.ts
+++ b/packages/settings/src/findConflicts.ts
@@ -14,7 +14,7 @@
   subtrees.forEach((subtree, path) =>
     listIds(subtree).forEach((id) => {
       const firstPath = firstPathById.get(id);
-      if (firstPath) conflicts.push(`${kind} ${id} at ${path} is already defined at ${firstPath}`);
+      if (firstPath) conflicts.push(`${kind} ${id} at ${path} stands already at ${firstPath}`);
       firstPathById.set(id, path);
     }),
   );
