--- a/apps/cli/src/newArrivals.ts
+++ b/apps/cli/src/newArrivals.ts
@@ -21,11 +21,11 @@
 
 const pickByWeight = (weights: readonly number[], target: number): number => {
   let remaining = target;
-  const found = weights.findIndex((weight) => {
+  const index = weights.findIndex((weight) => {
     remaining -= weight;
     return remaining < 0;
   });
-  return found === -1 ? weights.length - 1 : found;
+  return index === -1 ? weights.length - 1 : index;
 };
 
 /** Generates all arrivals of a plan, sorted by time; those of each customer are a Poisson process. */
--- a/apps/entry/src/newEntry.ts
+++ b/apps/entry/src/newEntry.ts
@@ -47,9 +47,9 @@
 
 /** The process that serves callers' requests. */
 const newEntry = (settings: HostSettings) => {
-  const usageKeeper: { current: UsageReplicaStore | null } = { current: null };
+  const usageReplicaStore: { current: UsageReplicaStore | null } = { current: null };
   const daemon = newDaemon(PROGRAM, 'entry', settings, {
-    keepUsage: (host, deltas) => usageKeeper.current?.store(host, deltas),
+    keepUsage: (host, deltas) => usageReplicaStore.current?.store(host, deltas),
   });
   const { clock, metrics, tasks, runtime, log, app } = daemon;
   const { follower, writer, suspects } = runtime;
@@ -69,7 +69,7 @@
     windowMs: settings.usageWindowSeconds * 1_000,
     copy: newUsageReplicator(daemon),
   });
-  usageKeeper.current = newUsageReplicaStore({
+  usageReplicaStore.current = newUsageReplicaStore({
     clock,
     follower,
     writer,
@@ -120,7 +120,7 @@
     );
     tasks.start('admissions', admissions.run);
     tasks.start('meter', meter.run);
-    if (usageKeeper.current) tasks.start('usage keeper', usageKeeper.current.run);
+    if (usageReplicaStore.current) tasks.start('usage keeper', usageReplicaStore.current.run);
     return { drain };
   };
 
--- a/apps/rollout/src/newRollout.ts
+++ b/apps/rollout/src/newRollout.ts
@@ -10,7 +10,7 @@
 import newTrainerHandlers from './newTrainerHandlers.js';
 
 const PROGRAM = 'cyclamengate-rollout';
-/** A process knows every live peer this long after its start. */
+/** Time after its start from which a process is assumed to know all live peers. */
 const PEER_DISCOVERY_MS = 15_000;
 
 /** The process that serves trainers' requests. */
--- a/apps/standin/src/faultSwitches.ts
+++ b/apps/standin/src/faultSwitches.ts
@@ -57,11 +57,11 @@
     },
     /** Returns the switch of a fault that is on and counts one use of it, or null. */
     use: (target: string, fault: Fault): FaultSwitch | null => {
-      const found = switches.get(switchKey(target, fault));
-      if (!found) return null;
-      if (found.times > 0) found.times -= 1;
-      if (found.times === 0) switches.delete(switchKey(target, fault));
-      return found;
+      const faultSwitch = switches.get(switchKey(target, fault));
+      if (!faultSwitch) return null;
+      if (faultSwitch.times > 0) faultSwitch.times -= 1;
+      if (faultSwitch.times === 0) switches.delete(switchKey(target, fault));
+      return faultSwitch;
     },
   };
 };
--- a/apps/standin/src/newPrefixCache.ts
+++ b/apps/standin/src/newPrefixCache.ts
@@ -7,7 +7,7 @@
   at: number;
 }
 
-const MAX_EVENTS_KEPT = 1_024;
+const MAX_EVENTS = 1_024;
 
 /** An engine's LRU cache of prompt prefixes, with the events that the engine publishes about it. */
 const newPrefixCache = (prefixesCached: number) => {
@@ -18,7 +18,7 @@
   const publish = (kind: CacheEvent['kind'], prefix: string): void => {
     events.push({ sequence, kind, prefix, at: performance.now() });
     sequence += 1;
-    if (events.length > MAX_EVENTS_KEPT) events.shift();
+    if (events.length > MAX_EVENTS) events.shift();
   };
 
   return {
--- a/apps/standin/src/withFaults.ts
+++ b/apps/standin/src/withFaults.ts
@@ -35,7 +35,7 @@
   return null;
 };
 
-/** Wraps the handler of a route so that it shows the faults that are switched on for its target. */
+/** Wraps the handler of a route to simulate the faults that are switched on for its target. */
 export const withFaults = (
   faults: FaultSwitches,
   target: string,
@@ -49,8 +49,8 @@
         return;
       }
       if (faults.use(target, 'silent')) return;
-      const slow = faults.use(target, 'slow');
-      if (slow) await sleep(slow.delayMs);
+      const slowSwitch = faults.use(target, 'slow');
+      if (slowSwitch) await sleep(slowSwitch.delayMs);
       const result = await handle(request, response);
       if (!result) return;
       if (request.method === 'POST' && faults.use(target, 'lose-answer')) {
--- a/packages/coordination/src/RecordSource.ts
+++ b/packages/coordination/src/RecordSource.ts
@@ -2,7 +2,7 @@
 import type { LogRecord } from '@cyclamengate/platform/logRecord';
 import type { SystemState } from './systemState.js';
 
-/** Why a read failed: the source is unreachable, or no longer has the requested records. */
+/** Why a read failed: the source was unreachable or returned no valid page. */
 export type SourceFault = 'unreachable';
 
 /** Records from an offset on, and how current the source is. */
--- a/packages/coordination/src/applyLease.ts
+++ b/packages/coordination/src/applyLease.ts
@@ -16,17 +16,17 @@
 };
 
 /**
- * Decides a claim. Of two concurrent claims based on the same offset, the first one in the log is
- * accepted. The other one, or a claim that is appended long after it was sent, is based on an
- * outdated offset and is rejected.
+ * Decides a claim. Of concurrent claims based on the same offset, the first one in the log is
+ * accepted. All others, and claims that are appended long after they were sent, are based on an
+ * outdated offset and are rejected.
  */
 export const applyLeaseClaim = (
   leases: LeaseStates,
   offset: number,
   claim: LeaseClaim,
 ): Decision => {
-  const stale = findStaleReason(leases, claim);
-  if (stale) return rejected(stale);
+  const staleReason = findStaleReason(leases, claim);
+  if (staleReason) return rejected(staleReason);
   const current = leases[claim.lease];
   const isRenewal = current !== undefined && current.holder === claim.holder;
   const fence = isRenewal ? current.fence : offset;
@@ -40,8 +40,8 @@
   offset: number,
   release: LeaseRelease,
 ): Decision => {
-  const stale = findStaleReason(leases, release);
-  if (stale) return rejected(stale);
+  const staleReason = findStaleReason(leases, release);
+  if (staleReason) return rejected(staleReason);
   const current = leases[release.lease];
   if (!current || current.holder !== release.holder) return rejected('released by another');
   leases[release.lease] = { holder: '', fence: current.fence, offset };
--- a/packages/coordination/src/applySample.ts
+++ b/packages/coordination/src/applySample.ts
@@ -11,7 +11,8 @@
 } from './sampleRecords.js';
 import type { StepState, TrainerState } from './trainerState.js';
 
-const MAX_STEPS = 8;
+/** Older steps are evicted. A step further behind the newest one than this cannot be opened. */
+const MAX_STEPS_PER_TRAINER = 8;
 
 type Trainers = Record<string, TrainerState>;
 
@@ -20,11 +21,11 @@
   return trainers[id];
 };
 
-const stalenessBound = (settings: SettingsTree, trainer: string): number | null => {
-  const found = Object.values(settings)
+const findStalenessBound = (settings: SettingsTree, trainer: string): number | null => {
+  const trainerSettings = Object.values(settings)
     .flatMap(({ subtree }) => subtree?.trainers ?? [])
     .find(({ id }) => id === trainer);
-  return found ? found.stalenessBoundVersions : null;
+  return trainerSettings ? trainerSettings.stalenessBoundVersions : null;
 };
 
 /** Sets the trainer's current version, which never decreases. */
@@ -40,7 +41,7 @@
 
 const evictSteps = (trainer: TrainerState): void => {
   const steps = Object.keys(trainer.steps).sort((left, right) => Number(left) - Number(right));
-  steps.slice(0, Math.max(0, steps.length - MAX_STEPS)).forEach((step) => {
+  steps.slice(0, Math.max(0, steps.length - MAX_STEPS_PER_TRAINER)).forEach((step) => {
     delete trainer.steps[step];
   });
 };
@@ -54,7 +55,7 @@
     return isSame ? ACCEPTED : rejected('the step is open with another shape');
   }
   const newest = Math.max(-1, ...Object.keys(trainer.steps).map(Number));
-  if (opened.step < newest - MAX_STEPS) return rejected('the step is long over');
+  if (opened.step < newest - MAX_STEPS_PER_TRAINER) return rejected('the step is long over');
   trainer.steps[opened.step] = {
     groups: opened.groups,
     groupSize: opened.groupSize,
@@ -87,7 +88,7 @@
   if (!step || !slot) return rejected('there is no such slot');
   if (slot.attempt !== bound.attempt) return rejected('the slot was released since');
   if (slot.sample) return rejected('the slot is bound already');
-  const limit = stalenessBound(settings, bound.trainer);
+  const limit = findStalenessBound(settings, bound.trainer);
   const { version } = getOrCreateTrainer(trainers, bound.trainer);
   if (limit === null) return rejected('the trainer is not in the settings');
   if (!isFresh(bound.segments, version, limit)) return rejected('the sample is too old');
@@ -130,7 +131,7 @@
     .map((slot) => step.slots[slot]?.sample ?? null);
   const currentDigests = samples.map((sample) => sample?.digest).join();
   if (currentDigests !== offered.digests.join()) return rejected('the positions have moved');
-  const limit = stalenessBound(settings, offered.trainer) ?? 0;
+  const limit = findStalenessBound(settings, offered.trainer) ?? 0;
   const { version } = getOrCreateTrainer(trainers, offered.trainer);
   const isAllFresh = samples.every((sample) => sample && isFresh(sample.segments, version, limit));
   if (!isAllFresh) return rejected('a sample has grown too old');
--- a/packages/coordination/src/newFold.ts
+++ b/packages/coordination/src/newFold.ts
@@ -23,7 +23,10 @@
 import { newEmptyState } from './systemState.js';
 import type { SystemState } from './systemState.js';
 
-/** Ids that detect duplicate records; older duplicates are rejected for the offsets they name. */
+/**
+ * Number of ids by which duplicate records are detected. Older duplicates are rejected because the
+ * offset, attempt or sequence number that they name is outdated.
+ */
 const MAX_RECENT_IDS = 1_024;
 const RECORDS_BETWEEN_CALL_EVICTIONS = 1_024;
 
--- a/packages/coordination/src/newFollower.ts
+++ b/packages/coordination/src/newFollower.ts
@@ -58,14 +58,14 @@
 
   /** Applies the buffered records, after the gap before them has been covered. */
   const applyPending = (): void => {
-    const later = pending;
+    const buffered = pending;
     pending = [];
-    applyContiguous(later);
+    applyContiguous(buffered);
   };
 
   /**
    * The log retains records for a limited time, so the next record of a new host, or of one that
-   * was paused for longer, may no longer exist. Folding a later record next would make its state
+   * was suspended for longer, may no longer exist. Folding a later record next would make its state
    * diverge from all others. So it waits for a checkpoint that covers all offsets before its
    * buffered records.
    */
@@ -76,7 +76,7 @@
     const oldest = pending[0]?.offset ?? 0;
     const state = pending
       .map(findCheckpoint)
-      .findLast((found) => found !== null && found.offset >= oldest - 1);
+      .findLast((checkpoint) => checkpoint !== null && checkpoint.offset >= oldest - 1);
     if (!state) return;
     load(state);
     pending = pending.filter(({ offset }) => offset > state.offset);
--- a/packages/coordination/src/newLease.ts
+++ b/packages/coordination/src/newLease.ts
@@ -56,8 +56,9 @@
  */
 export const newLease = (options: LeaseOptions): Lease => {
   const { clock, follower, writer, name, holder, claimDelayMs } = options;
-  const sentAt = new Map<string, number>();
+  const sentAtById = new Map<string, number>();
   let held: HeldLease | null = null;
+  /** When the last change of the lease was read, on the monotonic clock. */
   let readAt = clock.now();
   let isStopping = false;
 
@@ -71,28 +72,28 @@
     if (record.type !== 'lease-claim' && record.type !== 'lease-release') return;
     if (record.lease !== name || !decision.accepted) return;
     readAt = clock.now();
-    const sent = sentAt.get(id);
+    const sentAt = sentAtById.get(id);
     const lease = currentState();
-    if (record.type === 'lease-release' || !lease || sent === undefined) {
+    if (record.type === 'lease-release' || !lease || sentAt === undefined) {
       held = null;
       return;
     }
-    held = { fence: lease.fence, deadline: sent + LEASE_TERM_MS };
+    held = { fence: lease.fence, deadline: sentAt + LEASE_TERM_MS };
   });
 
   const claim = async (): Promise<void> => {
     const now = clock.now();
     const id = newId('claim');
     const basedOn = currentState()?.offset ?? NEVER_HELD;
-    sentAt.set(id, now);
+    sentAtById.set(id, now);
     await writer.write(
       { type: 'lease-claim', lease: name, holder, basedOn },
       now + LEASE_TERM_MS,
       id,
     );
     // If a claim is appended later than this, its term has already ended.
-    sentAt.forEach((sent, old) => {
-      if (sent + LEASE_TERM_MS < clock.now()) sentAt.delete(old);
+    sentAtById.forEach((sentAt, oldId) => {
+      if (sentAt + LEASE_TERM_MS < clock.now()) sentAtById.delete(oldId);
     });
   };
 
--- a/packages/coordination/src/newMembership.ts
+++ b/packages/coordination/src/newMembership.ts
@@ -52,9 +52,9 @@
 
   const pickRandom = (members: Member[], count: number): Member[] => {
     if (members.length <= count) return members;
-    const left = [...members];
+    const remaining = [...members];
     return Array.from({ length: count }, () => {
-      const [picked] = left.splice(Math.floor(random() * left.length), 1);
+      const [picked] = remaining.splice(Math.floor(random() * remaining.length), 1);
       return picked as Member;
     });
   };
--- a/packages/coordination/src/newRecordRing.ts
+++ b/packages/coordination/src/newRecordRing.ts
@@ -24,13 +24,13 @@
       bytes += record.body.length;
       trim();
     },
-    /** Deletes all records, after offsets were skipped: the records must be contiguous. */
+    /** Deletes all records after offsets were skipped, since the records must be contiguous. */
     clear: (): void => {
       records = [];
       bytes = 0;
     },
     /** The oldest offset in the buffer, or the given offset if the buffer is empty. */
-    first: (otherwise: number): number => records[0]?.offset ?? otherwise,
+    first: (fallback: number): number => records[0]?.offset ?? fallback,
     from: (offset: number): LogRecord[] => {
       const oldest = records[0]?.offset ?? 0;
       const start = Math.max(0, offset - oldest);
--- a/packages/coordination/src/newRuntime.ts
+++ b/packages/coordination/src/newRuntime.ts
@@ -61,8 +61,7 @@
     failureDomain: settings.failureDomain,
     peerUrl,
     url: `http://${settings.listen.host}:${settings.listen.port}`,
-    // A restarted process must start above its previous heartbeats, or peers would ignore it as
-    // old.
+    // A restarted process must start above its previous heartbeats, or peers would ignore it.
     heartbeat: clock.wallTime(),
     offset: -1,
     isLeaving: false,
@@ -99,9 +98,9 @@
   });
 
   const peerAt = (url: string): Peer => {
-    const known = peers.get(url) ?? newPeer(url);
-    peers.set(url, known);
-    return known;
+    const peer = peers.get(url) ?? newPeer(url);
+    peers.set(url, peer);
+    return peer;
   };
 
   const readSources = (): RecordSource[] => {
--- a/packages/coordination/src/writeCheckpoints.ts
+++ b/packages/coordination/src/writeCheckpoints.ts
@@ -24,13 +24,13 @@
   lease: Lease,
   signal: AbortSignal,
 ): Promise<void> => {
-  let covered = -1;
-  let writtenAt = -1;
+  let coveredOffset = -1;
+  let writtenOffset = -1;
   let dueAt = clock.now();
   follower.onFolded(({ record, offset }) => {
     if (record.type !== 'checkpoint') return;
-    writtenAt = offset;
-    covered = Math.max(covered, record.covers);
+    writtenOffset = offset;
+    coveredOffset = Math.max(coveredOffset, record.covers);
     dueAt = clock.now() + CHECKPOINT_INTERVAL_MS;
   });
 
@@ -39,10 +39,10 @@
     if (offset < 0) return false;
     const first = follower.logFirst();
     const isNearRetentionLimit =
-      first > 0 && writtenAt < first + (offset - first) * (1 - MAX_CHECKPOINT_AGE_RATIO);
+      first > 0 && writtenOffset < first + (offset - first) * (1 - MAX_CHECKPOINT_AGE_RATIO);
     return (
       isNearRetentionLimit ||
-      offset - covered >= MAX_RECORDS_BETWEEN_CHECKPOINTS ||
+      offset - coveredOffset >= MAX_RECORDS_BETWEEN_CHECKPOINTS ||
       clock.now() >= dueAt
     );
   };
--- a/packages/coordination/tests/newFold.model.test.ts
+++ b/packages/coordination/tests/newFold.model.test.ts
@@ -108,7 +108,7 @@
   return newBody({ type: 'checkpoint', covers: covered, state: structuredClone(state) });
 };
 
-// A host may join late, be paused for longer than the log's retention, or get records from peers
+// A host may join late, be suspended for longer than the log's retention, or get records from peers
 // twice and in parts. If its state diverged, hosts would enforce different settings permanently.
 test('readers that start from any checkpoint reach the state of a reader of all records', (t) => {
   fc.assert(
--- a/packages/platform/src/newHttpCaller.ts
+++ b/packages/platform/src/newHttpCaller.ts
@@ -93,11 +93,10 @@
   /**
    * Sends an order that only the holder of a lease may send.
    *
-   * The process can be frozen, or opening its connection can be slow, between the decision to send
-   * and the actual write, and bytes in the socket's send buffer can arrive after a successor's
-   * order. So the guard is checked again when the body is written, since an order without a body
-   * has no effect. On a timeout the connection is reset instead of closed, which discards unsent
-   * bytes.
+   * Between the decision to send and the actual write, the process can be suspended or opening its
+   * connection can be slow. Bytes in the socket's send buffer can arrive after a successor's order.
+   * So the guard is checked again when the body is written, since an order without a body has no
+   * effect. On a timeout the connection is reset instead of closed, which discards unsent bytes.
    */
   const order = async <T>(
     path: string,
--- a/packages/platform/src/upstreamStatus.ts
+++ b/packages/platform/src/upstreamStatus.ts
@@ -3,7 +3,7 @@
 
 export const upstreamStateSchema = z.enum(['starting', 'live', 'leaving']);
 
-/** An upstream in the list of the platform, which lags. */
+/** An upstream as the platform lists it; the host list lags. */
 export const upstreamStatusSchema = z.object({
   id: z.string(),
   service: z.string(),
@@ -11,7 +11,7 @@
   kind: upstreamKindSchema,
   url: z.string(),
   state: upstreamStateSchema,
-  /** Whether the platform is reclaiming the upstream, with a notice of seconds. */
+  /** Whether the platform is reclaiming the upstream, with a few seconds' notice. */
   reclaimed: z.boolean().default(false),
 });
 
--- a/packages/rollouts/src/newPayloadCopies.ts
+++ b/packages/rollouts/src/newPayloadCopies.ts
@@ -28,8 +28,8 @@
 
   const copyToOnePeer = async (payloadDigest: string, payload: string): Promise<Member | null> => {
     for (const member of otherDomainsFirst()) {
-      const isKept = await peerAt(member.peerUrl).keepPayload(payloadDigest, payload);
-      if (isKept.ok && isKept.val) return member;
+      const isStored = await peerAt(member.peerUrl).keepPayload(payloadDigest, payload);
+      if (isStored.ok && isStored.val) return member;
     }
     return null;
   };
--- a/packages/rollouts/src/newSampleReader.ts
+++ b/packages/rollouts/src/newSampleReader.ts
@@ -12,7 +12,7 @@
 const WRITE_TIMEOUT_MS = 5_000;
 const MAX_PAGE_SAMPLES = 64;
 
-interface Collected {
+interface CollectedSample {
   digest: string;
   payload: string;
 }
@@ -42,7 +42,7 @@
   copies: PayloadCopies;
 }
 
-/** Reads samples for a trainer. By cursor, each sample is delivered exactly once. */
+/** Reads pages of samples for a trainer. By cursor, each sample is delivered exactly once. */
 const newSampleReader = ({ clock, metrics, follower, writer, copies }: ReadOptions) => {
   const findStep = (trainer: string, step: number): StepState | undefined =>
     follower.state().trainers[trainer]?.steps[step];
@@ -110,8 +110,8 @@
     step: StepState,
     from: number,
     through: number,
-  ): Promise<Result<Collected[], ReadFault>> => {
-    const collected: Collected[] = [];
+  ): Promise<Result<CollectedSample[], ReadFault>> => {
+    const collected: CollectedSample[] = [];
     for (let position = from; position < through; position += 1) {
       const sample = sampleAt(step, position);
       if (!sample) break;
@@ -123,7 +123,11 @@
     return Ok(collected);
   };
 
-  const areUnchanged = (step: StepState, from: number, collected: readonly Collected[]): boolean =>
+  const areUnchanged = (
+    step: StepState,
+    from: number,
+    collected: readonly CollectedSample[],
+  ): boolean =>
     collected.every(({ digest }, index) => sampleAt(step, from + index)?.digest === digest);
 
   /**
--- a/packages/rollouts/src/rolloutWeights.ts
+++ b/packages/rollouts/src/rolloutWeights.ts
@@ -15,7 +15,7 @@
 /** Interval of polling the engines while all of them have the newest weights. */
 const CHECK_INTERVAL_MS = 2_000;
 /** Lease time that must remain beyond the timeout of an order. */
-const LEASE_MARGIN_MS = 250;
+const MIN_REMAINING_LEASE_MS = 250;
 /** Fraction of a service's engines in a failure domain that may load weights concurrently. */
 const MAX_LOADING_FRACTION = 0.5;
 
@@ -76,11 +76,11 @@
   ): Promise<void> => {
     // Engines that ignore the fencing token accept orders from any sender. So the lease is checked
     // in the tick in which the order is written, and must outlast the order's timeout.
-    const held = lease.holdFor(WEIGHT_ORDER_TIMEOUT_MS + LEASE_MARGIN_MS);
+    const held = lease.holdFor(WEIGHT_ORDER_TIMEOUT_MS + MIN_REMAINING_LEASE_MS);
     if (!held) return;
     const wanted = { trainer, version, fence: held.fence };
     const accepted = await engine.orderWeights(upstream.url, wanted, () =>
-      isStillHeld(lease, held, LEASE_MARGIN_MS),
+      isStillHeld(lease, held, MIN_REMAINING_LEASE_MS),
     );
     metrics.count(accepted.ok ? 'weight_orders_taken' : 'weight_orders_failed');
     log.info({
--- a/packages/rollouts/tests/rolloutBench.ts
+++ b/packages/rollouts/tests/rolloutBench.ts
@@ -78,7 +78,7 @@
 ) => {
   const stores = new Map<string, PayloadStore>();
   const members: Member[] = [];
-  const settled = new Set(['one', 'two', 'three']);
+  const hostsKnowingPeers = new Set(['one', 'two', 'three']);
 
   const newHost = (
     id: string,
@@ -112,7 +112,7 @@
             Ok(stores.get(url)?.put(digest, payload) ?? false),
           readPayload: async (digest: string) => Ok(stores.get(url)?.read(digest) ?? null),
         }) as unknown as Peer,
-      arePeersKnown: () => settled.has(id),
+      arePeersKnown: () => hostsKnowingPeers.has(id),
     });
     const maker = new FakeMaker(clock, id);
     const runner = newStepRunner({
--- a/packages/upstreams/src/orderUpstreams.ts
+++ b/packages/upstreams/src/orderUpstreams.ts
@@ -12,7 +12,8 @@
 import choosePoolSizes from './choosePoolSizes.js';
 
 const CHECK_INTERVAL_MS = 1_000;
-const LEASE_MARGIN_MS = 250;
+/** Lease time that must remain beyond the timeout of an order. */
+const MIN_REMAINING_LEASE_MS = 250;
 const AUDIT_NOTE_TIMEOUT_MS = 10_000;
 /** Time for which fewer upstreams must have sufficed before the number is reduced. */
 const SHRINK_DELAY_MS = 30_000;
@@ -55,7 +56,7 @@
   const { orders, writer, lease, onUpstreams } = options;
   const avoidUntil = new Map<string, number>();
   const shrinkAt = new Map<string, number>();
-  const lastOrdered = new Map<string, string>();
+  const lastOrderSummaries = new Map<string, string>();
 
   const avoidReclaimedPools = (upstreams: readonly UpstreamStatus[]): void =>
     upstreams
@@ -97,7 +98,7 @@
     wanted: number,
     running: number,
   ): Promise<void> => {
-    const held = lease.holdFor(ORDER_TIMEOUT_MS + LEASE_MARGIN_MS);
+    const held = lease.holdFor(ORDER_TIMEOUT_MS + MIN_REMAINING_LEASE_MS);
     if (!held) return;
     const order = {
       failureDomain,
@@ -106,7 +107,9 @@
       wanted,
       fence: held.fence,
     };
-    const placed = await orders.place(order, () => isStillHeld(lease, held, LEASE_MARGIN_MS));
+    const placed = await orders.place(order, () =>
+      isStillHeld(lease, held, MIN_REMAINING_LEASE_MS),
+    );
     const outcome = placed.ok ? 'taken' : placed.val;
     log.info({ event: 'upstream-order', ...order, running, outcome });
     const name = poolKey(service.id, pool);
@@ -114,8 +117,8 @@
       avoidUntil.set(name, clock.now() + AVOID_UNAVAILABLE_MS);
     }
     const orderSummary = `${wanted} ${held.fence} ${outcome}`;
-    if (lastOrdered.get(name) === orderSummary) return;
-    lastOrdered.set(name, orderSummary);
+    if (lastOrderSummaries.get(name) === orderSummary) return;
+    lastOrderSummaries.set(name, orderSummary);
     const note = {
       type: 'audit-note',
       subject: `${name}: ${wanted} wanted`,
--- a/packages/upstreams/src/upstreamFault.ts
+++ b/packages/upstreams/src/upstreamFault.ts
@@ -2,9 +2,10 @@
  * Why an upstream gave no complete answer.
  * - `not-sent`: no connection could be opened; nothing ran
  * - `refused`: it answered that it did not run the request
- * - `broken`: the connection failed during the request; whether it ran is unknown
+ * - `broken`: the connection failed or was closed before the answer ended; whether the request
+ *   ran is unknown
  * - `silent`: the upstream did not respond in time; whether the request ran is unknown
- * - `malformed`: the answer was truncated, belonged to another request or could not be parsed
+ * - `malformed`: the answer lacked tokens, belonged to another request or could not be parsed
  * - `cancelled`: this host cancelled the request
  */
 export type UpstreamFault =
--- a/packages/upstreams/src/watchUpstreams.ts
+++ b/packages/upstreams/src/watchUpstreams.ts
@@ -4,7 +4,7 @@
 import type { UpstreamDirectory } from './newUpstreamDirectory.js';
 
 const LIST_INTERVAL_MS = 1_000;
-const REPORT_INTERVAL_MS = 1_000;
+const STATUS_INTERVAL_MS = 1_000;
 
 /**
  * Updates the directory from the platform's list. If the platform is unreachable, the last list
@@ -33,7 +33,7 @@
   signal: AbortSignal,
 ): Promise<void> => {
   while (!signal.aborted) {
-    const next = clock.now() + REPORT_INTERVAL_MS;
+    const next = clock.now() + STATUS_INTERVAL_MS;
     const sameDomain = directory
       .all()
       .filter(({ status }) => status.failureDomain === failureDomain);
--- a/packages/usage/src/newUsageReplicaStore.ts
+++ b/packages/usage/src/newUsageReplicaStore.ts
@@ -50,7 +50,7 @@
     }
   };
 
-  return { store, run, kept: (): number => deltasByHost.size };
+  return { store, run, hostCount: (): number => deltasByHost.size };
 };
 
 export type UsageReplicaStore = ReturnType<typeof newUsageReplicaStore>;
--- a/packages/usage/src/reportUsage.ts
+++ b/packages/usage/src/reportUsage.ts
@@ -12,7 +12,7 @@
 /** Time that hosts have after the end of a window to write their usage to the log. */
 export const CLOSE_GRACE_MS = 5_000;
 /** Lease time that must remain beyond the timeout of a report. */
-const LEASE_MARGIN_MS = 250;
+const MIN_REMAINING_LEASE_MS = 250;
 
 export interface ReportOptions {
   clock: Clock;
@@ -31,7 +31,7 @@
  * Closes windows and reports them, one after the other, while this process holds the lease.
  *
  * The answer to a report can be lost after the platform accepted the report, and a process that was
- * frozen during a report may resume after its successor took over. Both can only send the figures
+ * suspended during a report may resume after its successor took over. Both can only send the figures
  * that the log fixed, and the lease must outlast the report's timeout, so a repeated report is
  * identical to the first one.
  */
@@ -73,10 +73,10 @@
   const reportNextWindow = async (): Promise<boolean> => {
     const window = findUnreportedWindow();
     const closed = window === undefined ? undefined : follower.state().usage.closed[window];
-    const held = lease.holdFor(REPORT_TIMEOUT_MS + LEASE_MARGIN_MS);
+    const held = lease.holdFor(REPORT_TIMEOUT_MS + MIN_REMAINING_LEASE_MS);
     if (window === undefined || !closed || !held) return false;
     const report = { window, fence: held.fence, figures: closed.figures };
-    const sent = await reports.send(report, () => isStillHeld(lease, held, LEASE_MARGIN_MS));
+    const sent = await reports.send(report, () => isStillHeld(lease, held, MIN_REMAINING_LEASE_MS));
     log.info({ event: 'usage-report', window, outcome: sent.ok ? 'taken' : sent.val });
     if (!sent.ok) return false;
     await writer.write({ type: 'usage-reported', window }, clock.now() + WRITE_TIMEOUT_MS);
--- a/packages/usage/tests/usage.test.ts
+++ b/packages/usage/tests/usage.test.ts
@@ -22,7 +22,7 @@
 
 /** The platform's report interface. Some answers are lost after the report was accepted. */
 class FakeReports extends UsageReports {
-  readonly taken: UsageReport[] = [];
+  readonly acceptedReports: UsageReport[] = [];
 
   answersToLose = 0;
 
@@ -31,7 +31,7 @@
     isStillHeld: () => boolean,
   ): Promise<Result<void, PlatformFault>> {
     if (!isStillHeld()) return Err('not-sent');
-    this.taken.push(structuredClone(report));
+    this.acceptedReports.push(structuredClone(report));
     if (this.answersToLose === 0) return Ok(undefined);
     this.answersToLose -= 1;
     return Err('unknown');
@@ -80,7 +80,7 @@
 const newFigure = (outputTokens: number) => ({ requests: 1, promptTokens: 0, outputTokens });
 
 const sumBilledTokens = (reports: FakeReports): number => {
-  const byWindow = new Map(reports.taken.map((report) => [report.window, report]));
+  const byWindow = new Map(reports.acceptedReports.map((report) => [report.window, report]));
   return [...byWindow.values()].reduce(
     (sum, { figures }) => sum + (figures.players?.outputTokens ?? 0),
     0,
@@ -88,8 +88,8 @@
 };
 
 const areRepeatsIdentical = (reports: FakeReports): boolean =>
-  reports.taken.every((report) =>
-    reports.taken
+  reports.acceptedReports.every((report) =>
+    reports.acceptedReports
       .filter(({ window }) => window === report.window)
       .every(({ figures }) => JSON.stringify(figures) === JSON.stringify(report.figures)),
   );
@@ -106,7 +106,7 @@
     await clock.advance(1_000);
   }
   await clock.advance(30_000);
-  t.true(reports.taken.length > 4);
+  t.true(reports.acceptedReports.length > 4);
   t.true(areRepeatsIdentical(reports));
   t.is(sumBilledTokens(reports), 200);
 });
@@ -134,14 +134,16 @@
   newReporter(log, clock, reports, 'first');
   const peer = newLogHost(log, clock, 'peer');
   const live = new Set(['entry', 'peer']);
-  const keeper = newUsageReplicaStore({
+  const replicaStore = newUsageReplicaStore({
     clock,
     follower: peer.follower,
     writer: peer.writer,
     isLive: (host) => live.has(host),
   });
-  keeper.run(peer.signal).catch(() => undefined);
-  const entry = newEntry(log, clock, 'entry', async (deltas) => keeper.store('entry', deltas));
+  replicaStore.run(peer.signal).catch(() => undefined);
+  const entry = newEntry(log, clock, 'entry', async (deltas) =>
+    replicaStore.store('entry', deltas),
+  );
   await clock.advance(2_100);
   entry.meter.add('players', newFigure(77));
   await clock.advance(600);
@@ -161,9 +163,11 @@
   newReporter(log, clock, reports, 'first');
   const peer = newLogHost(log, clock, 'peer');
   const { follower, writer } = peer;
-  const keeper = newUsageReplicaStore({ clock, follower, writer, isLive: () => false });
-  keeper.run(peer.signal).catch(() => undefined);
-  const entry = newEntry(log, clock, 'entry', async (deltas) => keeper.store('entry', deltas));
+  const replicaStore = newUsageReplicaStore({ clock, follower, writer, isLive: () => false });
+  replicaStore.run(peer.signal).catch(() => undefined);
+  const entry = newEntry(log, clock, 'entry', async (deltas) =>
+    replicaStore.store('entry', deltas),
+  );
   for (let second = 0; second < 20; second += 1) {
     entry.meter.add('players', newFigure(2));
     await clock.advance(1_000);
@@ -196,14 +200,14 @@
   newReporter(log, clock, reports, 'first');
   const connected = newEntry(log, clock, 'near');
   const isolated = newEntry(log, clock, 'cut');
-  const originalFate = log.chooseOutcome;
+  const originalOutcome = log.chooseOutcome;
   log.chooseOutcome = (bodies) =>
     bodies.some((body) => body.includes('"writer":"cut"')) ? 'refused' : 'lands';
   isolated.meter.add('players', newFigure(40));
   connected.meter.add('players', newFigure(2));
   await clock.advance(25_000);
   t.is(sumBilledTokens(reports), 2);
-  log.chooseOutcome = originalFate;
+  log.chooseOutcome = originalOutcome;
   connected.meter.add('players', newFigure(1));
   await clock.advance(40_000);
   t.true(areRepeatsIdentical(reports));
--- a/scripts/capacity.js
+++ b/scripts/capacity.js
@@ -138,7 +138,7 @@
 };
 
 /** Measures each program alone, with default and with reduced heap limits. */
-const programs = () =>
+const measurePrograms = () =>
   withProcesses(async (processes) => {
     const platform = await processes.startPlatform();
     const figures = {};
@@ -313,7 +313,7 @@
 };
 
 const PARTS = {
-  programs,
+  programs: measurePrograms,
   processes: measureByProcesses,
   upstreams: measureByUpstreams,
   records: measureByCustomers,
@@ -321,8 +321,8 @@
 const wanted = process.argv.slice(2);
 const file = join(OUTPUT, 'capacity.json');
 await mkdir(OUTPUT, { recursive: true });
-const known = JSON.parse(await readFile(file, 'utf8').catch(() => '{}'));
+const figuresByPart = JSON.parse(await readFile(file, 'utf8').catch(() => '{}'));
 for (const name of wanted.length > 0 ? wanted : Object.keys(PARTS)) {
-  known[name] = await PARTS[name]();
+  figuresByPart[name] = await PARTS[name]();
 }
-await writeFile(file, `${JSON.stringify(known, null, 2)}\n`);
+await writeFile(file, `${JSON.stringify(figuresByPart, null, 2)}\n`);
