--- a/packages/coordination/tests/newLease.test.ts
+++ b/packages/coordination/tests/newLease.test.ts
@@ -13,7 +13,7 @@
 const READ_INTERVAL_MS = 100;
 
 /** A process that contends for the lease, with its own clock that the test can stop. */
-const newContender = (log: MemoryLog, clock: ManualClock, holder: string, deferMs = 0) => {
+const newContender = (log: MemoryLog, clock: ManualClock, holder: string, claimDelayMs = 0) => {
   const follower = newFollower(clock);
   const writer = newLogWriter({
     clock,
@@ -30,7 +30,7 @@
     writer,
     name: LEASE,
     holder,
-    claimDelayMs: () => deferMs,
+    claimDelayMs: () => claimDelayMs,
   });
   const { signal } = new AbortController();
   let isReadPaused = false;
