--- a/packages/coordination/src/applySample.ts
+++ b/packages/coordination/src/applySample.ts
@@ -11,7 +11,8 @@
 } from './sampleRecords.js';
 import type { StepState, TrainerState } from './trainerState.js';
 
-const MAX_STEPS = 8;
+/** Older steps are evicted. A step further behind the newest one than this cannot be opened. */
+const MAX_STEPS_PER_TRAINER = 8;
 
 type Trainers = Record<string, TrainerState>;
 
@@ -20,11 +21,11 @@
   return trainers[id];
 };
 
-const stalenessBound = (settings: SettingsTree, trainer: string): number | null => {
-  const found = Object.values(settings)
+const findStalenessBound = (settings: SettingsTree, trainer: string): number | null => {
+  const trainerSettings = Object.values(settings)
     .flatMap(({ subtree }) => subtree?.trainers ?? [])
     .find(({ id }) => id === trainer);
-  return found ? found.stalenessBoundVersions : null;
+  return trainerSettings ? trainerSettings.stalenessBoundVersions : null;
 };
 
 /** Sets the trainer's current version, which never decreases. */
@@ -33,15 +34,14 @@
   published: WeightsPublished,
 ): Decision => {
   const trainer = getOrCreateTrainer(trainers, published.trainer);
-  if (published.version <= trainer.version)
-    return rejected(`version ${trainer.version} is already published`);
+  if (published.version <= trainer.version) return rejected(`version ${trainer.version} is out`);
   trainer.version = published.version;
   return ACCEPTED;
 };
 
 const evictSteps = (trainer: TrainerState): void => {
   const steps = Object.keys(trainer.steps).sort((left, right) => Number(left) - Number(right));
-  steps.slice(0, Math.max(0, steps.length - MAX_STEPS)).forEach((step) => {
+  steps.slice(0, Math.max(0, steps.length - MAX_STEPS_PER_TRAINER)).forEach((step) => {
     delete trainer.steps[step];
   });
 };
@@ -52,10 +52,10 @@
   const existing = trainer.steps[opened.step];
   if (existing) {
     const isSame = existing.groups === opened.groups && existing.groupSize === opened.groupSize;
-    return isSame ? ACCEPTED : rejected('the step is already open with different groups');
+    return isSame ? ACCEPTED : rejected('the step is open with another shape');
   }
   const newest = Math.max(-1, ...Object.keys(trainer.steps).map(Number));
-  if (opened.step < newest - MAX_STEPS) return rejected('the step is too old');
+  if (opened.step < newest - MAX_STEPS_PER_TRAINER) return rejected('the step is long over');
   trainer.steps[opened.step] = {
     groups: opened.groups,
     groupSize: opened.groupSize,
@@ -85,10 +85,10 @@
 ): Decision => {
   const step = findStep(trainers, bound.trainer, bound.step);
   const slot = step?.slots[bound.slot];
-  if (!step || !slot) return rejected('the slot does not exist');
-  if (slot.attempt !== bound.attempt) return rejected('the slot was released in the meantime');
+  if (!step || !slot) return rejected('there is no such slot');
+  if (slot.attempt !== bound.attempt) return rejected('the slot was released since');
   if (slot.sample) return rejected('the slot is bound already');
-  const limit = stalenessBound(settings, bound.trainer);
+  const limit = findStalenessBound(settings, bound.trainer);
   const { version } = getOrCreateTrainer(trainers, bound.trainer);
   if (limit === null) return rejected('the trainer is not in the settings');
   if (!isFresh(bound.segments, version, limit)) return rejected('the sample is too old');
@@ -102,7 +102,7 @@
   const step = findStep(trainers, released.trainer, released.step);
   const slot = step?.slots[released.slot];
   if (!step || !slot?.sample) return rejected('the slot is not bound');
-  if (slot.attempt !== released.attempt) return rejected('the slot was released in the meantime');
+  if (slot.attempt !== released.attempt) return rejected('the slot was released since');
   const position = step.delivery.indexOf(released.slot);
   if (position < step.offered) return rejected('the sample was offered to the trainer');
   step.delivery.splice(position, 1);
@@ -124,18 +124,17 @@
   offered: SamplesOffered,
 ): Decision => {
   const step = findStep(trainers, offered.trainer, offered.step);
-  if (!step) return rejected('the step does not exist');
-  if (offered.through <= step.offered) return rejected('the samples were already offered');
+  if (!step) return rejected('there is no such step');
+  if (offered.through <= step.offered) return rejected('offered already');
   const samples = step.delivery
     .slice(step.offered, offered.through)
     .map((slot) => step.slots[slot]?.sample ?? null);
   const currentDigests = samples.map((sample) => sample?.digest).join();
-  if (currentDigests !== offered.digests.join())
-    return rejected('the positions hold other samples');
-  const limit = stalenessBound(settings, offered.trainer) ?? 0;
+  if (currentDigests !== offered.digests.join()) return rejected('the positions have moved');
+  const limit = findStalenessBound(settings, offered.trainer) ?? 0;
   const { version } = getOrCreateTrainer(trainers, offered.trainer);
   const isAllFresh = samples.every((sample) => sample && isFresh(sample.segments, version, limit));
-  if (!isAllFresh) return rejected('a sample is too old');
+  if (!isAllFresh) return rejected('a sample has grown too old');
   step.offered = offered.through;
   return ACCEPTED;
 };
