--- a/scripts/naive.js
+++ b/scripts/naive.js
@@ -22,7 +22,7 @@
     '*two racing changes*',
   ],
   [
-    'a claim of a lease is always good',
+    'every lease claim is accepted',
     'packages/coordination/dist/src/applyLease.js',
     'if (current === record.basedOn)',
     'if (true)',
@@ -30,7 +30,7 @@
     '*claim that is appended late*',
   ],
   [
-    'a holder does not look at its deadline',
+    'a lease holder does not check its deadline',
     'packages/coordination/dist/src/newLease.js',
     'held && held.deadline - neededMs > clock.now()',
     'held',
@@ -38,7 +38,7 @@
     '*suspended beyond its term*',
   ],
   [
-    'others take a lease without waiting',
+    'a lease is claimed before its term has ended',
     'packages/coordination/dist/src/newLease.js',
     'readAt + LEASE_TERM_MS + LEASE_MARGIN_MS + claimDelayMs()',
     'readAt',
@@ -46,7 +46,7 @@
     '*never two holders*',
   ],
   [
-    'a reader folds on over a hole',
+    'a reader continues past missing records',
     'packages/coordination/dist/src/newFollower.js',
     'offset === fold.state().offset + 1',
     'offset > fold.state().offset',
@@ -54,7 +54,7 @@
     '*start from any checkpoint*',
   ],
   [
-    'an empty page is good news',
+    'an empty page counts as up to date',
     'packages/coordination/dist/src/followLog.js',
     'behindSince = null;\n        avoid(source);',
     'behindSince = null;',
@@ -70,7 +70,7 @@
     '*on its behalf by a peer is counted once*',
   ],
   [
-    'usage stands in one memory alone',
+    'usage is not replicated',
     'packages/usage/dist/src/newMeter.js',
     'await copy([...sealed.values()]);',
     '',
@@ -78,7 +78,7 @@
     '*killed host loses no usage*',
   ],
   [
-    'late usage waits for other usage',
+    'late usage is reported only with later usage',
     'packages/usage/dist/src/reportUsage.js',
     'Object.keys(late).length > 0 ? lastClosableWindow() : undefined',
     'undefined',
@@ -94,7 +94,7 @@
     '*bind each slot once*',
   ],
   [
-    'samples are judged at the host alone',
+    'samples are checked for staleness only by the host',
     'packages/coordination/dist/src/applySample.js',
     'if (!isAllFresh)',
     'if (false)',
@@ -102,7 +102,7 @@
     '*old view*',
   ],
   [
-    'nobody looks at bound samples again',
+    'bound samples are not checked again',
     'packages/rollouts/dist/src/newSampleReader.js',
     'await releaseStaleAndLost(trainer, step);',
     '',
@@ -110,7 +110,7 @@
     '*lost both copies*',
   ],
   [
-    'stragglers are waited for',
+    'stragglers are not covered by extra copies',
     'packages/rollouts/dist/src/newStepRunner.js',
     'startLateCopies(unbound, slots);',
     '',
@@ -118,7 +118,7 @@
     '*stragglers are covered*',
   ],
   [
-    'samples are kept on one host',
+    'samples are not replicated',
     'packages/rollouts/dist/src/newPayloadCopies.js',
     'const copy = await copyToOnePeer(payloadDigest, payload);',
     'const copy = null;',
@@ -134,7 +134,7 @@
     '*one idempotency key at two hosts*',
   ],
   [
-    'an answer begins again elsewhere',
+    'a retried stream starts again from the first token',
     'packages/routing/dist/src/newGenerationRelay.js',
     'prefix: [...progress.tokens]',
     'prefix: []',
@@ -142,7 +142,7 @@
     '*resumes at another upstream*',
   ],
   [
-    'every refusal says not run',
+    'every refusal claims that nothing ran',
     'packages/routing/dist/src/newGenerationRelay.js',
     "return progress.mayHaveRun ? { ...refusal, outcome: 'unknown' } : refusal;",
     'return refusal;',
@@ -150,7 +150,7 @@
     '*refusal has an unknown outcome*',
   ],
   [
-    'no request is ever suspected',
+    'no request is suspected of crashing upstreams',
     'packages/routing/dist/src/newGenerationRelay.js',
     "if (cause === 'crashed')",
     'if (false)',
@@ -190,7 +190,7 @@
     '*never starts afterwards*',
   ],
   [
-    'a lease is looked at once',
+    'the lease is not checked before each write',
     'packages/platform/dist/src/newHttpCaller.js',
     'if (!isStillHeld())',
     'if (false)',
@@ -198,7 +198,7 @@
     '*before it is written*',
   ],
   [
-    'a connection is closed in good order',
+    'a cancelled connection is closed instead of reset',
     'packages/platform/dist/src/newHttpCaller.js',
     'socket.resetAndDestroy()',
     'socket.end()',
@@ -206,7 +206,7 @@
     '*resets its connection*',
   ],
   [
-    'keys are checked when a request begins',
+    'keys are checked only when a request begins',
     'apps/entry/dist/src/newOpenRequests.js',
     'controller.abort(KEY_WITHDRAWN);',
     '',
@@ -230,7 +230,7 @@
     '*crossed, truncated and stalled*',
   ],
   [
-    'only the log is read',
+    "records are read only from the platform's log",
     'packages/coordination/dist/src/newRuntime.js',
     '[...chosen, ...seeds]',
     '[logSource]',
@@ -238,7 +238,7 @@
     '*from the platform alone*',
   ],
   [
-    'checkpoints by number and time alone',
+    "checkpoints ignore the log's retention",
     'packages/coordination/dist/src/writeCheckpoints.js',
     'return (isNearRetentionLimit ||',
     'return (',
